--- a/crates/sequoiawing_consensus/src/action.rs
+++ b/crates/sequoiawing_consensus/src/action.rs
@@ -1,130 +1,133 @@
-use crate::{Ballot, Entry, MemberChange, Message, ReplicaId, Snapshot};
+use crate::{Entry, HardState, MemberChange, Message, ReplicaId, Snapshot};
 use sequoiawing_types::Name;
 use std::sync::Arc;
 
-/// What a driver uses to find the caller that waits for an answer.
+/// Identifies a pending request, so that the driver can find its caller.
 pub type Token = u64;
 
-/// A command that a caller wants committed.
+/// A command to commit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Proposal {
-    /// Names the caller.
+    /// Identifies the request.
     pub token: Token,
     /// The command.
     pub command: Arc<str>,
 }
 
-/// What a replica is told.
+/// An input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A message came in.
+    /// A message was received.
     Receive {
         /// The sender.
         from: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// Callers want commands committed.
+    /// Callers propose commands to commit.
     Propose(Vec<Proposal>),
-    /// A caller wants to read the state.
+    /// A caller requests a linearizable read of the state.
     Read(Token),
-    /// Every write up to this one is on the disk.
+    /// All writes up to and including this sequence number are durable.
     Persisted(u64),
-    /// The owner of the state wrote a snapshot as of the applied index.
-    Snapshotted {
+    /// The state machine produced a snapshot as of the applied index.
+    SnapshotTaken {
         /// The last entry that the snapshot contains.
         index: u64,
-        /// The state.
+        /// The serialized state.
         data: Arc<str>,
     },
-    /// An operator wants the members changed.
-    Change {
-        /// Names the caller.
+    /// An operator requests a membership change.
+    ChangeMembers {
+        /// Identifies the request.
         token: Token,
-        /// The change.
+        /// The requested change.
         change: MemberChange,
     },
-    /// The process is about to stop.
-    Retire,
+    /// The process is about to shut down; the replica hands over leadership.
+    Shutdown,
 }
 
-/// Why a caller's question is given up.
+/// Why a request was refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// Another replica leads; nothing was proposed.
+    /// This replica is not the leader; nothing was proposed.
     NotLeader,
-    /// The proposal may or may not be committed later.
+    /// This replica lost leadership; the proposal may still be committed.
     Uncertain,
-    /// Too many proposals wait; nothing was proposed.
+    /// Too many proposals are pending; nothing was proposed.
     Busy,
-    /// The change of members does not fit the members or is not safe now.
+    /// The membership change is invalid for the current members or is not safe
+    /// at present.
     Unsuitable,
 }
 
-/// What must be on the disk before messages that depend on it are sent.
+/// State to make durable before any message that depends on it is sent.
 ///
-/// Parts take effect in the order of the fields.
+/// The fields take effect in the order of their declaration.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Write {
-    /// Replaces the snapshot.
+    /// The new snapshot, if it changes.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// Whether all entries are dropped first.
+    /// Whether all existing entries are discarded first.
     pub reset: bool,
-    /// Replaces the term and vote.
-    pub ballot: Option<Ballot>,
-    /// Replaces the founder to which the empty disk is promised.
-    pub founder: Option<ReplicaId>,
-    /// Appended after dropping entries from the first one's index on.
+    /// The new term and vote, if they change.
+    pub hard_state: Option<HardState>,
+    /// The new bootstrap replica that the empty disk is promised to, if it
+    /// changes.
+    pub promised_to: Option<ReplicaId>,
+    /// Entries to append, after discarding existing entries from the first
+    /// one's index on.
     pub entries: Vec<Entry>,
-    /// The commit index known so far.
+    /// The highest commit index known so far.
     pub commit: u64,
 }
 
-/// What a replica wants done.
+/// An output of a replica, for the driver to execute.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Writes and syncs; the driver answers with [`Event::Persisted`].
+    /// Writes and syncs `write`; the driver answers with [`Event::Persisted`].
     Persist {
-        /// Counts the writes from 1.
+        /// The sequence number of the write, starting at 1.
         seq: u64,
-        /// What to write.
+        /// The state to write.
         write: Write,
     },
-    /// Sends a message once all writes up to `after` are on the disk.
+    /// Sends a message once all writes up to `after` are durable.
     Send {
         /// The receiver.
         to: ReplicaId,
         /// The message.
         message: Message,
-        /// The last write that must be on the disk.
+        /// The sequence number of the last write that must be durable; 0 if none.
         after: u64,
     },
-    /// Sends a message to a host whose identity is not known yet.
-    Contact {
-        /// A host that the settings name.
+    /// Sends a message to a host whose replica identity is not known yet.
+    SendToHost {
+        /// The host, as named in the settings.
         host: Name,
         /// The message.
         message: Message,
     },
-    /// Applies a committed entry and answers the caller, if any.
+    /// Applies a committed entry and answers its caller, if any.
     Apply {
         /// The entry.
         entry: Entry,
-        /// The caller that proposed it here.
+        /// The request that proposed the entry at this replica, if any.
         token: Option<Token>,
     },
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state with that of a snapshot.
     Restore(Arc<Snapshot>),
-    /// Asks for a snapshot of the state as of now.
+    /// Requests a snapshot of the current state.
     TakeSnapshot,
-    /// Tells a caller that the applied state contains all that was committed
-    /// when it asked.
-    Readable(Token),
-    /// Tells a caller that its question is given up.
+    /// Completes a read: the applied state contains everything that was
+    /// committed when the read was requested.
+    ReadReady(Token),
+    /// Refuses a request.
     Refuse {
-        /// Names the caller.
+        /// Identifies the request.
         token: Token,
         /// The reason.
         refusal: Refusal,
--- a/crates/sequoiawing_consensus/src/entry.rs
+++ b/crates/sequoiawing_consensus/src/entry.rs
@@ -2,37 +2,40 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A place in the log: the index of an entry and the term that made it.
+/// A position in the log: the index and the term of an entry.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Deserialize, Serialize)]
 pub struct Position {
-    /// The index; the first entry has index 1.
+    /// The index of the entry, starting at 1.
     pub index: u64,
-    /// The term of the leader that made the entry.
+    /// The term of the leader that created the entry.
     pub term: u64,
 }
 
 impl Position {
-    /// Reports whether a log that ends here holds everything that one ending at
-    /// `other` may have committed.
+    /// Returns `true` if a log that ends at this position is at least as
+    /// up-to-date as a log that ends at `other`.
+    ///
+    /// Such a log holds every entry that the other log may have committed.
     pub fn is_up_to_date(self, other: Self) -> bool {
         (self.term, self.index) >= (other.term, other.index)
     }
 }
 
-/// What an entry carries.
+/// The payload of a log entry.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Payload {
-    /// Nothing; a new leader commits it to learn what is committed.
+    /// No payload; a new leader commits such an entry to find out which earlier
+    /// entries are committed.
     Empty,
-    /// A command for the state machine.
+    /// A command for the replicated state machine.
     Command(Arc<str>),
-    /// The members from this entry on.
+    /// The members that are in effect from this entry on.
     Members(Arc<Membership>),
 }
 
 impl Payload {
-    /// Returns the approximate size on the wire, in bytes.
+    /// Returns the approximate encoded size, in bytes.
     pub(crate) fn size(&self) -> usize {
         match self {
             Self::Empty => 0,
@@ -42,19 +45,19 @@
     }
 }
 
-/// One entry of the log.
+/// An entry of the log.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
     /// The index of the entry.
     pub index: u64,
-    /// The term of the leader that made it.
+    /// The term of the leader that created it.
     pub term: u64,
-    /// What it carries.
+    /// The payload.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Returns the place of the entry.
+    /// Returns the position of the entry.
     pub fn position(&self) -> Position {
         Position {
             index: self.index,
@@ -63,12 +66,13 @@
     }
 }
 
-/// The term and vote, synced before any message that depends on them.
+/// The term and vote, which are durable before any message that depends on them
+/// is sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Ballot {
+pub struct HardState {
     /// The highest term seen.
     pub term: u64,
-    /// Who got this replica's vote in that term.
+    /// The replica that received this replica's vote in that term, if any.
     pub vote: Option<ReplicaId>,
 }
--- a/crates/sequoiawing_consensus/src/identity.rs
+++ b/crates/sequoiawing_consensus/src/identity.rs
@@ -1,10 +1,10 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The identity of one disk of one host, drawn when its data folder is made.
+/// The identity of a replica, generated when its data folder is created.
 ///
-/// Votes belong to an identity and not to a host, so that a host whose disk
-/// was lost never speaks for the votes that its former disk gave.
+/// It identifies the disk rather than the host: a host that lost its disk also
+/// lost the record of its votes, so it must not vote under the same identity.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
--- a/crates/sequoiawing_consensus/src/lib.rs
+++ b/crates/sequoiawing_consensus/src/lib.rs
@@ -1,8 +1,9 @@
-//! A replicated log with its storage: pure decisions and synced segments.
+//! A Raft-style replicated log and its durable storage.
 //!
-//! [`Replica`] decides without I/O, clock or randomness of its own; a driver
-//! tells it the time and each [`Event`] and carries out its [`Action`]s.
-//! [`DiskStorage`] keeps what must survive a crash. What was weighed stands in
+//! [`Replica`] is a deterministic state machine without I/O or a clock; its
+//! randomness is seeded. A driver passes it the time and each [`Event`], and
+//! executes the [`Action`]s that it returns. [`DiskStorage`] stores the state
+//! that must survive a crash. The design and its alternatives are described in
 //! [docs/design/consensus.md](../../../docs/design/consensus.md) and
 //! [docs/design/storage.md](../../../docs/design/storage.md).
 
@@ -18,16 +19,16 @@
 mod storage;
 
 pub use action::{Action, Event, Proposal, Refusal, Token, Write};
-pub use entry::{Ballot, Entry, Payload, Position};
+pub use entry::{Entry, HardState, Payload, Position};
 pub use identity::ReplicaId;
 pub use membership::{Member, MemberChange, Membership};
-pub use message::{Census, Envelope, Message, SnapshotChunk};
+pub use message::{BootstrapAnswer, Envelope, Message, SnapshotChunk};
 pub use replica::{Replica, RoleName};
 pub use settings::{ReplicaSettings, Timing};
 pub use snapshot::Snapshot;
 pub use storage::{DiskStorage, Loaded, LogStorage, StorageError, StorageLimits};
 
-/// The types that drivers of a replica import most.
+/// The types that most drivers of a replica import.
 pub mod prelude {
     pub use crate::{Action, Event, LogStorage, Membership, Message, Replica, ReplicaId};
 }
--- a/crates/sequoiawing_consensus/src/log.rs
+++ b/crates/sequoiawing_consensus/src/log.rs
@@ -1,11 +1,13 @@
 use crate::{Entry, Position};
 use std::collections::VecDeque;
 
-/// The entries that are held in memory: all after the snapshot, and a tail
-/// before it for followers that lag a little.
+/// The log entries held in memory.
+///
+/// These are all entries after the snapshot, and some before it so that
+/// followers that lag slightly need no snapshot.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
-    /// The place just before the first entry.
+    /// The position of the entry before the first one held.
     prev: Position,
     entries: VecDeque<Entry>,
 }
@@ -38,18 +40,22 @@
     }
 
     pub(crate) fn push(&mut self, entry: Entry) {
-        debug_assert_eq!(entry.index, self.last().index + 1, "the log has no gaps");
+        debug_assert_eq!(
+            entry.index,
+            self.last().index + 1,
+            "log entries must be contiguous"
+        );
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all later ones.
     pub(crate) fn truncate(&mut self, index: u64) {
         let kept = index.saturating_sub(self.first());
         self.entries
             .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
     }
 
-    /// Drops the entries up to `index`.
+    /// Removes the entries up to and including `index`.
     pub(crate) fn compact(&mut self, index: u64) {
         while let Some(entry) = self.entries.front().filter(|e| e.index <= index) {
             self.prev = entry.position();
@@ -57,8 +63,10 @@
         }
     }
 
-    /// Returns entries from `index` on, at least one if there is one, up to
-    /// about `bytes`.
+    /// Returns the entries from `index` on whose payloads fit into about
+    /// `bytes`.
+    ///
+    /// The first entry is returned even if it is larger.
     pub(crate) fn batch(&self, index: u64, bytes: usize) -> Vec<Entry> {
         let mut batch = Vec::new();
         let mut size = 0;
--- a/crates/sequoiawing_consensus/src/membership.rs
+++ b/crates/sequoiawing_consensus/src/membership.rs
@@ -3,42 +3,44 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A replica that takes part in the log.
+/// A replica that receives the log.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Member {
     /// The identity of its disk.
     pub id: ReplicaId,
     /// Its host.
     pub host: Name,
-    /// Where it takes messages.
+    /// The address on which it receives messages.
     pub address: SocketAddr,
-    /// Whether it counts for majorities; a learner only receives the log.
+    /// Whether it votes and counts towards majorities; a learner only receives
+    /// the log.
     pub voter: bool,
 }
 
-/// The voters and learners, as of some entry of the log.
+/// The voters and learners as of an entry of the log.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Membership {
-    /// All of them.
+    /// All voters and learners.
     pub members: Vec<Member>,
-    /// The hosts whose replica should vote; a learner there is let vote once it
-    /// has caught up.
-    pub seats: Vec<Name>,
+    /// The hosts whose replicas should vote; a learner on one of them is promoted
+    /// once it has caught up.
+    #[serde(rename = "seats")]
+    pub voter_hosts: Vec<Name>,
 }
 
 impl Membership {
-    /// Returns the member with that identity.
+    /// Returns the member with the given identity.
     pub fn member(&self, id: ReplicaId) -> Option<&Member> {
         self.members.iter().find(|m| m.id == id)
     }
 
-    /// Returns the voting member of that host.
+    /// Returns the voter on the given host.
     pub fn voter_of(&self, host: &Name) -> Option<&Member> {
         self.members.iter().find(|m| m.voter && m.host == *host)
     }
 
-    /// Reports whether the replica counts for majorities.
+    /// Returns `true` if the replica is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.member(id).is_some_and(|m| m.voter)
     }
@@ -48,7 +50,7 @@
         self.members.iter().filter(|m| m.voter).map(|m| m.id)
     }
 
-    /// Returns the smallest number of voters that is a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters().count() / 2 + 1
     }
@@ -74,17 +76,22 @@
     pub(crate) fn without(&self, id: ReplicaId) -> Self {
         let kept = self.members.iter().filter(|m| m.id != id);
         let members = kept.cloned().collect();
-        let seats = self.seats.clone();
-        Self { members, seats }
+        let voter_hosts = self.voter_hosts.clone();
+        Self {
+            members,
+            voter_hosts,
+        }
     }
 }
 
-/// A change of the members that an operator asks for.
+/// A membership change that an operator requests.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberChange {
-    /// Gives this host a seat; its learner votes once it has caught up.
-    Seat(Name),
-    /// Takes the host's seat away and removes its replica.
+    /// Adds a host to the voter hosts; its learner is promoted once it has caught
+    /// up.
+    #[serde(rename = "seat")]
+    AddVoter(Name),
+    /// Removes a host from the voter hosts and its replica from the members.
     Remove(Name),
 }
--- a/crates/sequoiawing_consensus/src/message.rs
+++ b/crates/sequoiawing_consensus/src/message.rs
@@ -3,62 +3,64 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc};
 
-/// What a host answers when the first set of voters is being formed.
+/// The answer of a host to [`Message::Bootstrap`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Census {
-    /// The disk is empty and now promised to the asking founder.
+pub enum BootstrapAnswer {
+    /// The disk is empty and is now promised to the sender.
     Promised,
-    /// The disk is empty but promised to another founder.
+    /// The disk is empty but is promised to another replica.
     Taken(ReplicaId),
-    /// The disk belongs to a deployment already.
+    /// The disk already belongs to a deployment.
     Founded,
-    /// The settings name other voters.
+    /// The settings of the host list different voters.
     Differs,
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SnapshotChunk {
     /// The last entry that the snapshot contains.
     pub position: Position,
     /// The members as of that entry.
     pub members: Arc<Membership>,
-    /// The bytes of the whole snapshot.
+    /// The size of the whole snapshot, in bytes.
     pub total: usize,
-    /// Where this part begins.
+    /// The offset of this chunk in the snapshot, in bytes.
     pub offset: usize,
-    /// This part.
+    /// The data of this chunk.
     pub data: String,
 }
 
 /// A message between replicas.
 ///
-/// Every message may be lost, repeated, late or out of order.
+/// Messages may be lost, duplicated, delayed or reordered.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// Asks whether a vote in `term` would be given, without asking for it.
+    /// Asks whether the receiver would grant a vote in `term`, without changing
+    /// its term.
     PreVote {
-        /// The term that the sender would start.
+        /// The term that the sender would campaign in.
         term: u64,
-        /// The end of the sender's log.
+        /// The last position of the sender's log.
         last: Position,
     },
     /// Answers [`Message::PreVote`].
     PreVoteReply {
-        /// The term that was asked about, or the receiver's own when refused.
+        /// The requested term if granted, or else the current term of the
+        /// replying replica.
         term: u64,
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// The candidate's term.
         term: u64,
-        /// The end of the candidate's log.
+        /// The last position of the candidate's log.
         last: Position,
-        /// Whether the leader of the term before gave up its lease for the
+        /// Whether the leader of the previous term released its lease to the
         /// candidate.
         transfer: bool,
     },
@@ -66,87 +68,93 @@
     VoteReply {
         /// The voter's term.
         term: u64,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Carries entries, or none as a heartbeat.
+    /// Replicates entries; without entries it is a heartbeat.
     Append {
         /// The leader's term.
         term: u64,
-        /// The place just before the entries.
+        /// The position of the entry that precedes `entries`.
         prev: Position,
-        /// The entries.
+        /// The entries to append.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: u64,
-        /// The leader's round, which the reply repeats.
+        /// The leader's round, which the reply echoes.
         round: u64,
     },
     /// Answers [`Message::Append`] once the entries are synced.
     AppendReply {
         /// The follower's term.
         term: u64,
-        /// The round that is answered.
+        /// The round of the message that is answered.
         round: u64,
-        /// The highest index known to match the leader's log, or `None` when
-        /// the place before the entries did not match.
+        /// The highest index known to match the leader's log, or `None` if the
+        /// preceding position did not match.
         matched: Option<u64>,
-        /// The end of the follower's log, where the leader tries next.
+        /// The index after which the leader should retry when `matched` is `None`.
         hint: u64,
     },
-    /// Carries a part of a snapshot.
+    /// Sends a chunk of a snapshot.
     Install {
         /// The leader's term.
         term: u64,
-        /// The leader's round, which the reply repeats.
+        /// The leader's round, which the reply echoes.
         round: u64,
-        /// The part.
+        /// The chunk.
         chunk: SnapshotChunk,
     },
     /// Answers [`Message::Install`].
     InstallReply {
         /// The follower's term.
         term: u64,
-        /// The round that is answered.
+        /// The round of the message that is answered.
         round: u64,
         /// The index of the snapshot that is being received.
         index: u64,
-        /// The bytes received so far.
+        /// The number of bytes received so far.
         received: usize,
     },
-    /// Tells a follower to start an election at once, because the leader of
-    /// `term` gave up its lease.
+    /// Tells a follower to start an election immediately, because the leader of
+    /// `term` released its lease.
     TimeoutNow {
         /// The leader's term.
         term: u64,
     },
-    /// Asks the leader to take a replica in as a learner; followers pass it on,
-    /// because the leader may be a host that the replica's settings don't name.
+    /// Asks the leader to add a replica as a learner.
+    ///
+    /// Followers forward it, because the settings of the replica may not list
+    /// the leader's host.
     Join {
-        /// The replica.
+        /// The replica that joins.
         id: ReplicaId,
         /// Its host.
         host: Name,
-        /// Where it takes messages.
+        /// The address on which it receives messages.
         address: SocketAddr,
     },
-    /// Asks a host to promise its empty disk to the sender's first set of
-    /// voters.
-    Census {
-        /// The hosts that the founder's settings name.
+    /// Asks a host to promise its empty disk to the sender, so that it becomes
+    /// one of the first voters.
+    #[serde(rename = "census")]
+    Bootstrap {
+        /// The hosts of the first voters in the sender's settings.
         voters: Vec<Name>,
     },
-    /// Answers [`Message::Census`].
-    CensusReply {
-        /// The answering host.
+    /// Answers [`Message::Bootstrap`].
+    #[serde(rename = "census_reply")]
+    BootstrapReply {
+        /// The replying host.
         host: Name,
-        /// Where it takes messages.
+        /// The address on which it receives messages.
         address: SocketAddr,
         /// The answer.
-        census: Census,
+        #[serde(rename = "census")]
+        answer: BootstrapAnswer,
     },
-    /// Makes the first set of voters known to those who promised.
-    Found {
+    /// Announces the first members to the replicas that promised their disks.
+    #[serde(rename = "found")]
+    Bootstrapped {
         /// The first members.
         members: Arc<Membership>,
     },
@@ -157,9 +165,9 @@
 pub struct Envelope {
     /// The sender.
     pub from: ReplicaId,
-    /// Where the sender takes replies.
+    /// The address on which the sender receives replies.
     pub address: SocketAddr,
-    /// The receiver, or `None` when the sender knows only its address.
+    /// The receiver, or `None` if the sender knows only its address.
     pub to: Option<ReplicaId>,
     /// The message.
     pub message: Message,
--- a/crates/sequoiawing_consensus/src/replica/election.rs
+++ b/crates/sequoiawing_consensus/src/replica/election.rs
@@ -1,4 +1,4 @@
-use super::{Promise, Replica, Role};
+use super::{LeaseGrant, Replica, Role};
 use crate::{Action, Message, Position, ReplicaId};
 use sequoiawing_types::Time;
 use std::collections::BTreeSet;
@@ -9,37 +9,40 @@
             return;
         }
         self.reset_election(now);
-        if now >= self.promise.until && self.can_campaign(now) {
+        if now >= self.lease_grant.until && self.can_campaign(now) {
             self.start_pre_vote(now, out);
         }
     }
 
     fn can_campaign(&self, now: Time) -> bool {
-        let is_voter = self.founding.is_none() && self.members().is_voter(self.id());
-        is_voter && !self.retiring && !self.is_stalled(now)
+        let is_voter = self.bootstrap.is_none() && self.members().is_voter(self.id());
+        is_voter && !self.shutting_down && !self.is_stalled(now)
     }
 
-    /// Draws the time of the next election.
+    /// Schedules the next election after a randomized timeout.
+    ///
+    /// A replica that is the only voter needs no timeout.
     pub(super) fn reset_election(&mut self, now: Time) {
-        let span = self.settings.timing.election;
-        let alone = self.members().voters().eq([self.id()]);
-        let extra = if alone {
+        let span = self.settings.timing.election_timeout;
+        let is_alone = self.members().voters().eq([self.id()]);
+        let extra = if is_alone {
             std::time::Duration::ZERO
         } else {
             self.random_span(span)
         };
-        let earliest = if alone { now } else { now + span };
-        self.election_at = earliest.max(self.promise.until) + extra;
+        let earliest = if is_alone { now } else { now + span };
+        self.election_at = earliest.max(self.lease_grant.until) + extra;
     }
 
-    /// Asks whether an election could be won, without disturbing a leader that
-    /// others still hear.
+    /// Asks the voters whether this replica could win an election.
+    ///
+    /// This does not disrupt a leader that others are still in contact with.
     fn start_pre_vote(&mut self, now: Time, out: &mut Vec<Action>) {
         self.leader = None;
         let granted = BTreeSet::from([self.id()]);
         self.role = Role::PreCandidate { granted };
         let message = Message::PreVote {
-            term: self.ballot.term + 1,
+            term: self.hard_state.term + 1,
             last: self.log.last(),
         };
         self.send_to_voters(&message, out);
@@ -71,32 +74,32 @@
 
     /// Starts an election in a new term with a vote for itself.
     pub(super) fn start_election(&mut self, now: Time, transfer: bool, out: &mut Vec<Action>) {
-        self.step_down(now, self.ballot.term + 1, out);
-        self.ballot.vote = Some(self.id());
-        self.write_ballot();
+        self.step_down(now, self.hard_state.term + 1, out);
+        self.hard_state.vote = Some(self.id());
+        self.write_hard_state();
         self.role = Role::Candidate {
             granted: BTreeSet::new(),
-            own: Some(self.seq + 1),
+            self_vote: Some(self.seq + 1),
         };
         let message = Message::Vote {
-            term: self.ballot.term,
+            term: self.hard_state.term,
             last: self.log.last(),
             transfer,
         };
         let id = self.id();
         let members = self.members().clone();
         for to in members.voters().filter(|v| *v != id) {
-            self.send_gated(to, message.clone());
+            self.send_after_write(to, message.clone());
         }
     }
 
-    /// Counts the vote for itself once it is on the disk.
-    pub(super) fn own_vote(&mut self, now: Time, seq: u64, out: &mut Vec<Action>) {
+    /// Counts the vote for itself once it is durable.
+    pub(super) fn count_self_vote(&mut self, now: Time, seq: u64, out: &mut Vec<Action>) {
         let id = self.id();
-        if let Role::Candidate { granted, own } = &mut self.role
-            && own.is_some_and(|own| own <= seq)
+        if let Role::Candidate { granted, self_vote } = &mut self.role
+            && self_vote.is_some_and(|self_vote| self_vote <= seq)
         {
-            *own = None;
+            *self_vote = None;
             granted.insert(id);
             self.count_votes(now, out);
         }
@@ -111,15 +114,16 @@
         }
     }
 
-    /// Reports whether a vote could break the promise behind a lease.
-    fn is_bound(&self, now: Time) -> bool {
+    /// Returns `true` if a vote could let two leaders hold a lease at the same
+    /// time.
+    fn must_withhold_vote(&self, now: Time) -> bool {
         if self.is_leader() {
             return self.holds_lease(now);
         }
-        now < self.promise.until
+        now < self.lease_grant.until
     }
 
-    pub(super) fn pre_vote(
+    pub(super) fn handle_pre_vote(
         &mut self,
         now: Time,
         from: ReplicaId,
@@ -127,12 +131,14 @@
         last: Position,
         out: &mut Vec<Action>,
     ) {
-        if self.founding.is_some() {
+        if self.bootstrap.is_some() {
             return;
         }
         let current = self.log.last();
-        let granted = term > self.ballot.term && last.is_up_to_date(current) && !self.is_bound(now);
-        let term = if granted { term } else { self.ballot.term };
+        let granted = term > self.hard_state.term
+            && last.is_up_to_date(current)
+            && !self.must_withhold_vote(now);
+        let term = if granted { term } else { self.hard_state.term };
         let message = Message::PreVoteReply { term, granted };
         out.push(Action::Send {
             to: from,
@@ -141,7 +147,7 @@
         });
     }
 
-    pub(super) fn pre_vote_reply(
+    pub(super) fn handle_pre_vote_reply(
         &mut self,
         now: Time,
         from: ReplicaId,
@@ -150,20 +156,20 @@
         out: &mut Vec<Action>,
     ) {
         if !granted {
-            if term > self.ballot.term && !self.is_bound(now) {
+            if term > self.hard_state.term && !self.must_withhold_vote(now) {
                 self.step_down(now, term, out);
             }
             return;
         }
         if let Role::PreCandidate { granted } = &mut self.role
-            && term == self.ballot.term + 1
+            && term == self.hard_state.term + 1
         {
             granted.insert(from);
             self.count_pre_votes(now, out);
         }
     }
 
-    pub(super) fn vote(
+    pub(super) fn handle_vote(
         &mut self,
         now: Time,
         from: ReplicaId,
@@ -172,30 +178,31 @@
         transfer: bool,
         out: &mut Vec<Action>,
     ) {
-        if self.founding.is_some() {
+        if self.bootstrap.is_some() {
             return;
         }
-        // The leader of the term before gave up its lease, and older leaders
-        // lost theirs when that one was elected.
-        let is_released = transfer && self.promise.term < term && !self.is_leader();
-        if self.is_bound(now) && !is_released {
+        // The leader of the previous term released its lease, and the leases of
+        // earlier leaders had expired when it was elected.
+        let is_released = transfer && self.lease_grant.term < term && !self.is_leader();
+        if self.must_withhold_vote(now) && !is_released {
             return;
         }
-        if term > self.ballot.term {
+        if term > self.hard_state.term {
             self.step_down(now, term, out);
         }
-        let is_free = self.ballot.vote.is_none_or(|vote| vote == from);
-        let granted = term == self.ballot.term && is_free && last.is_up_to_date(self.log.last());
-        if granted && self.ballot.vote.is_none() {
-            self.ballot.vote = Some(from);
-            self.write_ballot();
+        let is_free = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted =
+            term == self.hard_state.term && is_free && last.is_up_to_date(self.log.last());
+        if granted && self.hard_state.vote.is_none() {
+            self.hard_state.vote = Some(from);
+            self.write_hard_state();
             self.reset_election(now);
         }
-        let term = self.ballot.term;
-        self.send_gated(from, Message::VoteReply { term, granted });
+        let term = self.hard_state.term;
+        self.send_after_write(from, Message::VoteReply { term, granted });
     }
 
-    pub(super) fn vote_reply(
+    pub(super) fn handle_vote_reply(
         &mut self,
         now: Time,
         from: ReplicaId,
@@ -203,20 +210,23 @@
         granted: bool,
         out: &mut Vec<Action>,
     ) {
-        if term > self.ballot.term {
+        if term > self.hard_state.term {
             self.step_down(now, term, out);
             return;
         }
         if let Role::Candidate { granted: votes, .. } = &mut self.role
             && granted
-            && term == self.ballot.term
+            && term == self.hard_state.term
         {
             votes.insert(from);
             self.count_votes(now, out);
         }
     }
 
-    /// Takes in a message of a leader; reports whether it leads now.
+    /// Handles the term of a message from a leader.
+    ///
+    /// Returns `true` if the sender is the current leader, and `false` if its term
+    /// is outdated.
     pub(super) fn accept_leader(
         &mut self,
         now: Time,
@@ -225,36 +235,36 @@
         round: u64,
         out: &mut Vec<Action>,
     ) -> bool {
-        if term < self.ballot.term {
+        if term < self.hard_state.term {
             let message = Message::AppendReply {
-                term: self.ballot.term,
+                term: self.hard_state.term,
                 round,
                 matched: None,
                 hint: self.log.last().index,
             };
-            self.send_gated(from, message);
+            self.send_after_write(from, message);
             return false;
         }
-        if term > self.ballot.term || !matches!(self.role, Role::Follower) {
+        if term > self.hard_state.term || !matches!(self.role, Role::Follower) {
             self.step_down(now, term, out);
         }
         self.leader = Some(from);
-        self.heard = Some(now);
-        self.promise = Promise {
+        self.last_contact = Some(now);
+        self.lease_grant = LeaseGrant {
             term,
-            until: now + self.settings.timing.election,
+            until: now + self.settings.timing.election_timeout,
         };
         self.reset_election(now);
         true
     }
 
-    /// Follows in `term`, giving up whatever depended on another part.
+    /// Becomes a follower in `term` and refuses all pending requests.
     pub(super) fn step_down(&mut self, now: Time, term: u64, out: &mut Vec<Action>) {
-        self.abandon_callers(out);
-        if term > self.ballot.term {
-            self.ballot.term = term;
-            self.ballot.vote = None;
-            self.write_ballot();
+        self.refuse_pending(out);
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
+            self.write_hard_state();
         }
         self.role = Role::Follower;
         self.leader = None;
--- a/crates/sequoiawing_consensus/src/replica/follower.rs
+++ b/crates/sequoiawing_consensus/src/replica/follower.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 
 /// A snapshot that is being received.
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     position: Position,
     data: String,
 }
 
 impl Replica {
-    pub(super) fn append(
+    pub(super) fn handle_append(
         &mut self,
         from: ReplicaId,
         prev: Position,
@@ -23,27 +23,27 @@
         }
         let matched = prev.index + entries.len() as u64;
         for entry in entries {
-            self.take_entry(entry);
+            self.store_entry(entry);
         }
         self.commit = self.commit.max(commit.min(matched));
         self.reply_append(from, round, Some(matched), 0);
     }
 
     fn reply_append(&mut self, to: ReplicaId, round: u64, matched: Option<u64>, hint: u64) {
-        let term = self.ballot.term;
+        let term = self.hard_state.term;
         let message = Message::AppendReply {
             term,
             round,
             matched,
             hint,
         };
-        self.send_gated(to, message);
+        self.send_after_write(to, message);
     }
 
-    /// Returns where the leader should try next, unless the logs match at
-    /// `prev`.
+    /// Returns the index after which the leader should retry, or `None` if the
+    /// logs match at `prev`.
     fn mismatch(&self, prev: Position) -> Option<u64> {
-        if self.founding.is_some() {
+        if self.bootstrap.is_some() {
             return Some(0);
         }
         let last = self.log.last().index;
@@ -57,7 +57,7 @@
         if term == prev.term {
             return None;
         }
-        // All entries of that term are likely foreign to the leader.
+        // The leader probably lacks all entries of that term, so skip them all.
         let mut hint = prev.index - 1;
         while hint > self.commit && self.log.term_at(hint) == Some(term) {
             hint -= 1;
@@ -65,7 +65,7 @@
         Some(hint)
     }
 
-    fn take_entry(&mut self, entry: Entry) {
+    fn store_entry(&mut self, entry: Entry) {
         if entry.index <= self.commit {
             return;
         }
@@ -77,7 +77,7 @@
         self.push_entry(entry);
     }
 
-    pub(super) fn install(
+    pub(super) fn handle_install(
         &mut self,
         from: ReplicaId,
         round: u64,
@@ -85,7 +85,7 @@
         out: &mut Vec<Action>,
     ) {
         let position = chunk.position;
-        let is_known = self.founding.is_none()
+        let is_known = self.bootstrap.is_none()
             && (position.index <= self.commit
                 || self.log.term_at(position.index) == Some(position.term));
         if is_known {
@@ -98,7 +98,7 @@
         let received = self.receive_chunk(chunk);
         if received < total {
             let message = Message::InstallReply {
-                term: self.ballot.term,
+                term: self.hard_state.term,
                 round,
                 index: position.index,
                 received,
@@ -113,7 +113,7 @@
         }
         let data = self.incoming.take().map(|i| Arc::from(i.data));
         let data = data.unwrap_or_default();
-        self.reset_to(Arc::new(Snapshot {
+        self.reset_to_snapshot(Arc::new(Snapshot {
             position,
             members,
             data,
@@ -121,9 +121,11 @@
         self.reply_append(from, round, Some(position.index), 0);
     }
 
-    /// Adds a part when it is the next one, and returns the bytes received.
+    /// Appends the chunk if it is the next one.
+    ///
+    /// Returns the number of bytes received so far.
     fn receive_chunk(&mut self, chunk: &SnapshotChunk) -> usize {
-        let fresh = Incoming {
+        let fresh = IncomingSnapshot {
             position: chunk.position,
             data: String::new(),
         };
--- a/crates/sequoiawing_consensus/src/replica/mod.rs
+++ b/crates/sequoiawing_consensus/src/replica/mod.rs
@@ -1,10 +1,10 @@
-//! The state machine of one replica.
+//! The consensus state machine of a replica.
 
-mod change;
+mod bootstrap;
 mod election;
 mod follower;
-mod founding;
 mod leader;
+mod member_change;
 mod progress;
 mod reads;
 mod send;
@@ -12,14 +12,14 @@
 mod view;
 
 use crate::{
-    Action, Ballot, Entry, Event, Loaded, Membership, Message, Payload, Position, Refusal,
+    Action, Entry, Event, HardState, Loaded, Membership, Message, Payload, Position, Refusal,
     ReplicaId, ReplicaSettings, Snapshot, Token, Write, log::Log,
 };
 pub use view::RoleName;
 
-use follower::Incoming;
-use founding::Founding;
-use leader::Leading;
+use bootstrap::Bootstrap;
+use follower::IncomingSnapshot;
+use leader::LeaderState;
 use rand_chacha::{
     ChaCha8Rng,
     rand_core::{Rng, SeedableRng},
@@ -31,8 +31,8 @@
     time::Duration,
 };
 
-/// The part of the entries before a snapshot that is kept for followers that
-/// lag a little.
+/// Divides `snapshot_entries` to get the number of entries that are kept in
+/// memory before a snapshot, so that followers that lag slightly need no snapshot.
 const TAIL_DIVISOR: u64 = 4;
 
 enum Role {
@@ -42,84 +42,86 @@
     },
     Candidate {
         granted: BTreeSet<ReplicaId>,
-        /// The write that holds the vote for itself, once it is known.
-        own: Option<u64>,
+        /// The write with the vote for itself, until it is durable.
+        self_vote: Option<u64>,
     },
-    Leader(Box<Leading>),
+    Leader(Box<LeaderState>),
 }
 
-/// A write that is not on the disk yet.
-struct Pending {
+/// A write that is not yet durable.
+struct PendingWrite {
     seq: u64,
-    /// The end of the log that the write makes durable.
+    /// The last log index that the write makes durable.
     last: u64,
     since: Time,
 }
 
-/// A refusal to vote against a leader that may still hold a lease.
+/// A period in which this replica withholds its vote, because a leader may hold
+/// a lease that relies on it.
 #[derive(Clone, Copy)]
-struct Promise {
+struct LeaseGrant {
     term: u64,
     until: Time,
 }
 
-/// One replica of the log.
+/// A replica of the log.
 pub struct Replica {
     settings: ReplicaSettings,
-    ballot: Ballot,
+    hard_state: HardState,
     log: Log,
     snapshot: Arc<Snapshot>,
-    /// The members by the index from which on they hold; the first one is that
-    /// of the snapshot.
+    /// The members, with the index from which they are in effect; the first ones
+    /// are those of the snapshot.
     memberships: Vec<(u64, Arc<Membership>)>,
     commit: u64,
     applied: u64,
     durable: u64,
-    pending: VecDeque<Pending>,
+    pending: VecDeque<PendingWrite>,
     seq: u64,
     role: Role,
     leader: Option<ReplicaId>,
-    promise: Promise,
-    /// When a leader was heard last.
-    heard: Option<Time>,
+    lease_grant: LeaseGrant,
+    /// When the last message from a leader was received.
+    last_contact: Option<Time>,
     election_at: Time,
-    incoming: Option<Incoming>,
-    founding: Option<Founding>,
-    /// When hosts were last contacted outside the log.
-    contacted: Option<Time>,
-    snapshot_asked: bool,
-    retiring: bool,
+    incoming: Option<IncomingSnapshot>,
+    bootstrap: Option<Bootstrap>,
+    /// When hosts were last sent bootstrap announcements or join requests.
+    contacted_at: Option<Time>,
+    snapshot_requested: bool,
+    shutting_down: bool,
     rng: ChaCha8Rng,
-    /// What the event at hand writes.
+    /// The write of the current event.
     write: Option<Write>,
-    /// What the event at hand sends once its write is on the disk.
-    gated: Vec<(ReplicaId, Message)>,
+    /// The messages of the current event that wait for its write.
+    deferred: Vec<(ReplicaId, Message)>,
 }
 
 impl Replica {
-    /// Starts a replica from what its disk holds.
+    /// Starts a replica from the state loaded from its disk.
     ///
-    /// A replica that was founded before waits as long as its former self may
-    /// have promised before it votes.
+    /// A replica that belongs to a deployment withholds its vote for one election
+    /// timeout, because a leader may hold a lease that it granted before the
+    /// restart.
     pub fn start(
         settings: ReplicaSettings,
         loaded: Loaded,
         now: Time,
         out: &mut Vec<Action>,
     ) -> Self {
-        let rng = ChaCha8Rng::seed_from_u64(settings.seed ^ loaded.ballot.term);
-        let is_founded = loaded.snapshot.is_some();
+        let rng = ChaCha8Rng::seed_from_u64(settings.seed ^ loaded.hard_state.term);
+        let is_bootstrapped = loaded.snapshot.is_some();
         let snapshot = loaded.snapshot.unwrap_or_default();
         let mut memberships = vec![(snapshot.position.index, snapshot.members.clone())];
         memberships.extend(loaded.entries.iter().filter_map(members_of));
         let log = Log::new(snapshot.position, loaded.entries);
-        let until = if is_founded {
-            now + settings.timing.election
+        let until = if is_bootstrapped {
+            now + settings.timing.election_timeout
         } else {
             now
         };
-        let promise = Promise {
-            term: loaded.ballot.term,
+        let lease_grant = LeaseGrant {
+            term: loaded.hard_state.term,
             until,
         };
         let durable = log.last().index;
@@ -127,24 +129,24 @@
             commit: loaded.commit.clamp(snapshot.position.index, durable),
             applied: 0,
             durable,
-            ballot: loaded.ballot,
+            hard_state: loaded.hard_state,
             log,
             memberships,
             pending: VecDeque::new(),
             seq: 0,
             role: Role::Follower,
             leader: None,
-            promise,
-            heard: None,
+            lease_grant,
+            last_contact: None,
             election_at: until,
             incoming: None,
-            founding: (!is_founded).then(|| Founding::new(loaded.founder)),
-            contacted: None,
-            snapshot_asked: false,
-            retiring: false,
+            bootstrap: (!is_bootstrapped).then(|| Bootstrap::new(loaded.promised_to)),
+            contacted_at: None,
+            snapshot_requested: false,
+            shutting_down: false,
             rng,
             write: None,
-            gated: Vec::new(),
+            deferred: Vec::new(),
             snapshot,
             settings,
         };
@@ -153,29 +155,31 @@
         replica
     }
 
-    /// Takes in one event and adds what is to be done to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
             Event::Receive { from, message } => self.receive(now, from, message, out),
-            Event::Propose(proposals) => self.propose(now, proposals, out),
-            Event::Read(token) => self.read(now, token, out),
-            Event::Persisted(seq) => self.persisted(now, seq, out),
-            Event::Snapshotted { index, data } => self.snapshotted(index, data),
-            Event::Change { token, change } => self.change(now, token, &change, out),
-            Event::Retire => self.retiring = true,
+            Event::Propose(proposals) => self.handle_propose(now, proposals, out),
+            Event::Read(token) => self.handle_read(now, token, out),
+            Event::Persisted(seq) => self.handle_persisted(now, seq, out),
+            Event::SnapshotTaken { index, data } => self.handle_snapshot_taken(index, data),
+            Event::ChangeMembers { token, change } => {
+                self.handle_change_members(now, token, &change, out);
+            }
+            Event::Shutdown => self.shutting_down = true,
         }
         self.advance(now, out);
         self.flush(now, out);
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.founding.is_some() {
-            self.tick_founding(now, out);
+        if self.bootstrap.is_some() {
+            self.tick_bootstrap(now, out);
         }
         if self.tick_contact(now) {
-            self.announce_founding(out);
-            self.ask_to_join(now, out);
+            self.announce_bootstrap(out);
+            self.request_join(now, out);
         }
         if self.is_leader() {
             self.tick_leader(now, out);
@@ -186,17 +190,17 @@
 
     fn receive(&mut self, now: Time, from: ReplicaId, message: Message, out: &mut Vec<Action>) {
         match message {
-            Message::PreVote { term, last } => self.pre_vote(now, from, term, last, out),
+            Message::PreVote { term, last } => self.handle_pre_vote(now, from, term, last, out),
             Message::PreVoteReply { term, granted } => {
-                self.pre_vote_reply(now, from, term, granted, out);
+                self.handle_pre_vote_reply(now, from, term, granted, out);
             }
             Message::Vote {
                 term,
                 last,
                 transfer,
-            } => self.vote(now, from, term, last, transfer, out),
+            } => self.handle_vote(now, from, term, last, transfer, out),
             Message::VoteReply { term, granted } => {
-                self.vote_reply(now, from, term, granted, out);
+                self.handle_vote_reply(now, from, term, granted, out);
             }
             Message::Append {
                 term,
@@ -206,7 +210,7 @@
                 round,
             } => {
                 if self.accept_leader(now, from, term, round, out) {
-                    self.append(from, prev, entries, commit, round);
+                    self.handle_append(from, prev, entries, commit, round);
                 }
             }
             Message::AppendReply {
@@ -216,12 +220,12 @@
                 hint,
             } => {
                 if self.accept_reply(now, from, term, round, out) {
-                    self.append_reply(now, from, matched, hint, out);
+                    self.handle_append_reply(now, from, matched, hint, out);
                 }
             }
             Message::Install { term, round, chunk } => {
                 if self.accept_leader(now, from, term, round, out) {
-                    self.install(from, round, &chunk, out);
+                    self.handle_install(from, round, &chunk, out);
                 }
             }
             Message::InstallReply {
@@ -231,29 +235,30 @@
                 received,
             } => {
                 if self.accept_reply(now, from, term, round, out) {
-                    self.install_reply(now, from, index, received, out);
+                    self.handle_install_reply(now, from, index, received, out);
                 }
             }
-            Message::TimeoutNow { term } => self.timeout_now(now, from, term, out),
-            Message::Join { id, host, address } => self.join(id, host, address, out),
-            Message::Census { voters } => self.census(from, &voters),
-            Message::CensusReply {
+            Message::TimeoutNow { term } => self.handle_timeout_now(now, from, term, out),
+            Message::Join { id, host, address } => self.handle_join(id, host, address, out),
+            Message::Bootstrap { voters } => self.handle_bootstrap(from, &voters),
+            Message::BootstrapReply {
                 host,
                 address,
-                census,
-            } => self.census_reply(from, &host, address, census),
-            Message::Found { members } => self.found(now, from, members),
+                answer,
+            } => self.handle_bootstrap_reply(from, &host, address, answer),
+            Message::Bootstrapped { members } => self.handle_bootstrapped(now, from, members),
         }
     }
 
-    fn persisted(&mut self, now: Time, seq: u64, out: &mut Vec<Action>) {
+    fn handle_persisted(&mut self, now: Time, seq: u64, out: &mut Vec<Action>) {
         while let Some(done) = self.pending.pop_front_if(|p| p.seq <= seq) {
             self.durable = self.durable.max(done.last);
         }
-        self.own_vote(now, seq, out);
+        self.count_self_vote(now, seq, out);
     }
 
-    /// Moves on whatever the event may have made possible.
+    /// Advances the commit index, applies entries, completes reads and transfers
+    /// leadership, as far as the event made it possible.
     fn advance(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.is_leader() {
             self.advance_commit();
@@ -263,10 +268,10 @@
         self.try_transfer(now, out);
     }
 
-    /// Applies what is committed and on the own disk.
+    /// Applies the entries that are committed and durable on this replica.
     ///
-    /// Entries that only other disks hold are not applied, so that the state
-    /// never runs ahead of what a restart finds.
+    /// Entries that are durable only on other replicas are not applied, so that
+    /// the state is never ahead of what a restart would recover.
     fn apply(&mut self, out: &mut Vec<Action>) {
         let base = self.snapshot.position.index;
         if base > self.applied && base <= self.durable {
@@ -284,15 +289,15 @@
             let token = self.take_token(entry.position());
             out.push(Action::Apply { entry, token });
         }
-        let fresh = self.applied - base;
-        if fresh >= self.settings.snapshot_entries && !self.snapshot_asked {
-            self.snapshot_asked = true;
+        let since_snapshot = self.applied - base;
+        if since_snapshot >= self.settings.snapshot_entries && !self.snapshot_requested {
+            self.snapshot_requested = true;
             out.push(Action::TakeSnapshot);
         }
     }
 
-    fn snapshotted(&mut self, index: u64, data: Arc<str>) {
-        self.snapshot_asked = false;
+    fn handle_snapshot_taken(&mut self, index: u64, data: Arc<str>) {
+        self.snapshot_requested = false;
         let Some(term) = self.log.term_at(index) else {
             return;
         };
@@ -313,12 +318,12 @@
         self.log.compact(index.saturating_sub(tail));
     }
 
-    /// Hands over the write of the event, then what depends on it.
+    /// Emits the write of the event, then the messages that depend on it.
     fn flush(&mut self, now: Time, out: &mut Vec<Action>) {
         if let Some(mut write) = self.write.take() {
             self.seq += 1;
             write.commit = self.commit;
-            self.pending.push_back(Pending {
+            self.pending.push_back(PendingWrite {
                 seq: self.seq,
                 last: self.log.last().index,
                 since: now,
@@ -327,23 +332,23 @@
             out.push(Action::Persist { seq, write });
         }
         let after = self.seq;
-        let gated = self.gated.drain(..);
-        out.extend(gated.map(|(to, message)| Action::Send { to, message, after }));
+        let deferred = self.deferred.drain(..);
+        out.extend(deferred.map(|(to, message)| Action::Send { to, message, after }));
     }
 
-    /// Returns the write of the event at hand, starting one when necessary.
+    /// Returns the write of the current event, creating it if necessary.
     fn write(&mut self) -> &mut Write {
         self.write.get_or_insert_default()
     }
 
-    fn write_ballot(&mut self) {
-        let ballot = self.ballot;
-        self.write().ballot = Some(ballot);
+    fn write_hard_state(&mut self) {
+        let hard_state = self.hard_state;
+        self.write().hard_state = Some(hard_state);
     }
 
-    /// Sends a message that promises something which the disk must hold first.
-    fn send_gated(&mut self, to: ReplicaId, message: Message) {
-        self.gated.push((to, message));
+    /// Sends a message once the write of the current event is durable.
+    fn send_after_write(&mut self, to: ReplicaId, message: Message) {
+        self.deferred.push((to, message));
     }
 
     fn push_entry(&mut self, entry: Entry) {
@@ -352,9 +357,12 @@
         self.log.push(entry);
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all later ones.
     fn truncate(&mut self, index: u64) {
-        assert!(index > self.commit, "a committed entry is never dropped");
+        assert!(
+            index > self.commit,
+            "committed entries must not be truncated"
+        );
         self.log.truncate(index);
         self.memberships.retain(|(from, _)| *from < index);
         self.durable = self.durable.min(index - 1);
@@ -363,8 +371,8 @@
         }
     }
 
-    /// Replaces everything by a snapshot of the leader.
-    fn reset_to(&mut self, snapshot: Arc<Snapshot>) {
+    /// Replaces the log and the state with a snapshot.
+    fn reset_to_snapshot(&mut self, snapshot: Arc<Snapshot>) {
         let position = snapshot.position;
         self.log = Log::new(position, Vec::new());
         self.memberships = vec![(position.index, snapshot.members.clone())];
@@ -374,17 +382,17 @@
             pending.last = 0;
         }
         self.snapshot = snapshot.clone();
-        self.snapshot_asked = false;
-        self.founding = None;
+        self.snapshot_requested = false;
+        self.bootstrap = None;
         let write = self.write();
         write.snapshot = Some(snapshot);
         write.reset = true;
     }
 
-    /// Reports whether the oldest write takes longer than a sound disk needs.
+    /// Returns `true` if the oldest pending write exceeds the stall timeout.
     pub fn is_stalled(&self, now: Time) -> bool {
         let oldest = self.pending.front();
-        oldest.is_some_and(|p| now - p.since > self.settings.timing.stall)
+        oldest.is_some_and(|p| now - p.since > self.settings.timing.stall_timeout)
     }
 
     fn is_leader(&self) -> bool {
@@ -392,7 +400,10 @@
     }
 
     fn members(&self) -> &Arc<Membership> {
-        let (_, members) = self.memberships.last().expect("the snapshot has members");
+        let (_, members) = self
+            .memberships
+            .last()
+            .expect("the snapshot always has members");
         members
     }
 
--- a/crates/sequoiawing_consensus/src/replica/progress.rs
+++ b/crates/sequoiawing_consensus/src/replica/progress.rs
@@ -2,14 +2,15 @@
 use sequoiawing_types::Time;
 use std::sync::Arc;
 
-/// How entries reach one follower.
+/// How entries are replicated to a follower.
 #[derive(Debug)]
-pub(super) enum Flow {
-    /// One message at a time, until it is known where the logs match.
+pub(super) enum ProgressState {
+    /// Sends one message at a time until the matching position is known.
     Probe { waiting: bool },
-    /// Messages follow each other without waiting for replies.
-    Pipeline,
-    /// The follower lacks entries that are held no more.
+    /// Sends messages without waiting for replies.
+    Replicate,
+    /// Sends a snapshot, because the follower needs entries that the leader no
+    /// longer holds.
     Install {
         snapshot: Arc<Snapshot>,
         offset: usize,
@@ -17,17 +18,17 @@
     },
 }
 
-/// What the leader knows of one follower.
+/// The replication progress of a follower, as known to the leader.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// The highest index known to be on the follower's disk.
+    /// The highest index known to be durable on the follower.
     pub(super) matched: u64,
     /// The next entry to send.
     pub(super) next: u64,
-    pub(super) flow: Flow,
-    /// The latest round that was answered.
+    pub(super) state: ProgressState,
+    /// The latest round that the follower answered.
     pub(super) round: u64,
-    /// When that round was sent.
+    /// When the latest answered round was sent.
     pub(super) acked: Option<Time>,
 }
 
@@ -36,7 +37,7 @@
         Self {
             matched: 0,
             next,
-            flow: Flow::Probe { waiting: false },
+            state: ProgressState::Probe { waiting: false },
             round: 0,
             acked: None,
         }
--- a/crates/sequoiawing_consensus/src/replica/view.rs
+++ b/crates/sequoiawing_consensus/src/replica/view.rs
@@ -3,26 +3,26 @@
 use sequoiawing_types::Time;
 use std::sync::Arc;
 
-/// What part a replica plays.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RoleName {
-    /// Its disk belongs to no deployment yet.
-    Unfounded,
-    /// It receives the log without counting for majorities.
+    /// Its disk does not belong to a deployment yet.
+    Uninitialized,
+    /// It receives the log but does not vote.
     Learner,
     /// It votes and follows a leader.
     Follower,
-    /// It asks for votes.
+    /// It campaigns for votes.
     Candidate,
-    /// It orders the log.
+    /// It leads the deployment and appends entries to the log.
     Leader,
 }
 
 impl RoleName {
-    /// Returns the name as status reports show it.
+    /// Returns the name that status reports use.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Unfounded => "unfounded",
+            Self::Uninitialized => "unfounded",
             Self::Learner => "learner",
             Self::Follower => "follower",
             Self::Candidate => "candidate",
@@ -32,15 +32,15 @@
 }
 
 impl Replica {
-    /// Returns the identity of the replica's disk.
+    /// Returns the identity of the replica.
     pub fn id(&self) -> ReplicaId {
         self.settings.id
     }
 
-    /// Returns what part the replica plays.
+    /// Returns the current role.
     pub fn role(&self) -> RoleName {
         match self.role {
-            _ if self.founding.is_some() => RoleName::Unfounded,
+            _ if self.bootstrap.is_some() => RoleName::Uninitialized,
             Role::Leader(_) => RoleName::Leader,
             Role::Candidate { .. } | Role::PreCandidate { .. } => RoleName::Candidate,
             Role::Follower if self.members().is_voter(self.id()) => RoleName::Follower,
@@ -50,7 +50,7 @@
 
     /// Returns the current term.
     pub fn term(&self) -> u64 {
-        self.ballot.term
+        self.hard_state.term
     }
 
     /// Returns the highest index known to be committed.
@@ -58,7 +58,8 @@
         self.commit
     }
 
-    /// Returns the highest index that was handed out to be applied.
+    /// Returns the highest index passed to [`Action::Apply`](crate::Action::Apply)
+    /// or contained in a restored snapshot.
     pub fn applied(&self) -> u64 {
         self.applied
     }
@@ -68,17 +69,17 @@
         self.leader
     }
 
-    /// Returns the members as of the end of the log.
+    /// Returns the members as of the last log entry, committed or not.
     pub fn membership(&self) -> &Membership {
         self.members()
     }
 
-    /// Returns the snapshot that the log starts from.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// Returns the end of the log.
+    /// Returns the position of the last log entry.
     pub fn last(&self) -> Position {
         self.log.last()
     }
@@ -88,22 +89,24 @@
         self.log.iter()
     }
 
-    /// Returns the end of the lease on this replica's clock, or `None` unless
-    /// it leads, holds one at `now` and has committed an entry of its term.
+    /// Returns the expiry of this leader's lease, as measured by its own clock.
+    ///
+    /// Returns `None` if the replica is not the leader, holds no lease at `now`
+    /// or has not yet committed an entry of its term.
     pub fn lease(&self, now: Time) -> Option<Time> {
-        let Role::Leader(leading) = &self.role else {
+        let Role::Leader(leader) = &self.role else {
             return None;
         };
-        let until = leading.lease_until(now, self.id(), self.members(), &self.settings.timing)?;
+        let until = leader.lease_until(now, self.id(), self.members(), &self.settings.timing)?;
         (until > now && self.has_committed_in_term()).then_some(until)
     }
 
-    /// Returns the latest time at which this replica was known to be in touch
-    /// with the leader, or as the leader with a majority.
-    pub fn in_touch(&self, now: Time) -> Option<Time> {
-        if let Role::Leader(leading) = &self.role {
-            return leading.confirmed(now, self.id(), self.members());
+    /// Returns when this replica last received a message from a leader, or, if it
+    /// leads, when it last had contact with a majority.
+    pub fn last_contact(&self, now: Time) -> Option<Time> {
+        if let Role::Leader(leader) = &self.role {
+            return leader.quorum_contact(now, self.id(), self.members());
         }
-        self.heard
+        self.last_contact
     }
 }
--- a/crates/sequoiawing_consensus/src/settings.rs
+++ b/crates/sequoiawing_consensus/src/settings.rs
@@ -5,70 +5,75 @@
 /// Parts per thousand.
 const PER_MILLE: u32 = 1_000;
 
-/// The time limits of a replica.
+/// The timeouts and intervals of a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timing {
-    /// How often a leader shows that it is alive.
-    pub heartbeat: Duration,
-    /// How long a follower refuses to vote after it heard from a leader; an
-    /// election starts after up to twice this time.
-    pub election: Duration,
-    /// How much faster or slower than true time a clock may run, in parts per
-    /// thousand.
+    /// The interval between heartbeats of a leader.
+    pub heartbeat_interval: Duration,
+    /// How long a follower withholds its vote after a message from a leader; an
+    /// election starts within twice this period.
+    pub election_timeout: Duration,
+    /// The maximum clock drift in either direction, in parts per thousand.
     pub drift: u32,
-    /// How long a write may take before the replica counts its disk as stalled.
-    pub stall: Duration,
+    /// How long a write may take before the replica considers its disk stalled.
+    pub stall_timeout: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_millis(750),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_millis(750),
             drift: 10,
-            stall: Duration::from_secs(2),
+            stall_timeout: Duration::from_secs(2),
         }
     }
 }
 
 impl Timing {
-    /// Returns how long a lease lasts on the leader's clock.
+    /// Returns the duration of a lease, as measured by the leader's clock.
     ///
-    /// It ends before the promise of any voter ends, even if the leader's clock
-    /// is as slow and the voter's as fast as the drift bound allows.
+    /// A lease expires before any voter that granted it may vote again, even if
+    /// the leader's clock is as slow and the voter's clock as fast as the drift
+    /// bound allows.
     pub fn lease(&self) -> Duration {
-        self.election * (PER_MILLE - self.drift) / (PER_MILLE + self.drift)
+        self.election_timeout * (PER_MILLE - self.drift) / (PER_MILLE + self.drift)
     }
 }
 
 /// The settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// The identity of its disk.
+    /// The identity of the replica.
     pub id: ReplicaId,
-    /// Its host.
+    /// The host that it runs on.
     pub host: Name,
-    /// Where it takes messages.
+    /// The address on which it receives messages.
     pub address: SocketAddr,
-    /// The hosts of the first voters; the first one founds the deployment.
-    /// Empty means that this host alone is the first voter.
+    /// The hosts of the first voters; the first one bootstraps the deployment.
+    ///
+    /// If empty, this host is the only first voter.
     pub voters: Vec<Name>,
-    /// The time limits.
+    /// The timeouts and intervals.
     pub timing: Timing,
-    /// The seed of its election timeouts.
+    /// The random seed of its election timeouts.
     pub seed: u64,
-    /// The entries after which it asks for a snapshot.
+    /// The number of applied entries after which it requests a snapshot.
     pub snapshot_entries: u64,
-    /// How long a voter may be away before a learner that has caught up takes
-    /// its seat; never where operators give seats.
+    /// How long a voter may be unreachable before a learner that has caught up
+    /// replaces it.
+    ///
+    /// `None` means never; operators then choose the voter hosts.
     pub replace_after: Option<Duration>,
-    /// The voters up to which learners that have caught up are given seats;
-    /// none are where operators give them.
-    pub grow_to: usize,
+    /// The number of voters up to which learners that have caught up are
+    /// promoted.
+    ///
+    /// 0 means that none are promoted; operators then choose the voter hosts.
+    pub target_voters: usize,
 }
 
 impl ReplicaSettings {
-    /// Returns the settings of a replica that is its deployment's only voter.
+    /// Returns the settings of a replica that is the only voter of its deployment.
     pub fn new(id: ReplicaId, host: Name, address: SocketAddr) -> Self {
         Self {
             id,
@@ -79,7 +84,7 @@
             seed: id.0,
             snapshot_entries: 4_096,
             replace_after: None,
-            grow_to: 0,
+            target_voters: 0,
         }
     }
 
--- a/crates/sequoiawing_consensus/src/storage/disk.rs
+++ b/crates/sequoiawing_consensus/src/storage/disk.rs
@@ -3,29 +3,29 @@
     folder::Folder,
     frame::{self, Kind},
     replay::{Record, Replay},
-    segment::{self, Closed, Segment},
+    segment::{self, ClosedSegment, Segment},
 };
 use crate::{ReplicaId, Snapshot, Write};
 use std::{collections::VecDeque, fs, io, path::Path, sync::Arc};
 
 const SNAPSHOT_FILE: &str = "snapshot";
 
-/// The limits of the files in a data folder.
+/// The size limits of the files in a data folder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StorageLimits {
-    /// The size at which a segment is closed, in bytes.
-    pub segment: u64,
+    /// The size at which a segment is closed and a new one is started, in bytes.
+    pub segment_bytes: u64,
 }
 
 impl Default for StorageLimits {
     fn default() -> Self {
         Self {
-            segment: 4 * 1024 * 1024,
+            segment_bytes: 4 * 1024 * 1024,
         }
     }
 }
 
-/// Keeps the log in checksummed segments in one data folder.
+/// Stores the log in checksummed segment files in a data folder.
 ///
 /// See [docs/design/storage.md](../../../../docs/design/storage.md).
 #[derive(Debug)]
@@ -33,24 +33,24 @@
     folder: Folder,
     limits: StorageLimits,
     id: ReplicaId,
-    closed: VecDeque<Closed>,
+    closed: VecDeque<ClosedSegment>,
     open: Option<Segment>,
     replay: Replay,
     snapshot: Option<Arc<Snapshot>>,
-    /// Set after a failed sync; nothing is written any more.
+    /// Whether a sync has failed, after which all writes are refused.
     is_failed: bool,
 }
 
 impl DiskStorage {
-    /// Opens a data folder, and gives it `fresh` as its identity if it is new.
+    /// Opens a data folder and, if it is new, assigns it the identity `new_id`.
     ///
     /// # Errors
     ///
-    /// Returns an error when another process holds the folder, when something
-    /// that was synced is damaged, or when the disk fails.
+    /// Returns an error if another process has locked the folder, if durable data
+    /// is damaged or missing, or if an I/O operation fails.
     pub fn open(
         path: &Path,
-        fresh: ReplicaId,
+        new_id: ReplicaId,
         limits: StorageLimits,
     ) -> Result<Self, StorageError> {
         let folder = Folder::open(path)?;
@@ -58,7 +58,7 @@
         let mut storage = Self {
             folder,
             limits,
-            id: known.unwrap_or(fresh),
+            id: known.unwrap_or(new_id),
             closed: VecDeque::new(),
             open: None,
             replay: Replay::default(),
@@ -72,14 +72,18 @@
         }
         storage.load()?;
         if known.is_none() {
-            storage.adopt()?;
+            storage.assign_identity()?;
         }
         Ok(storage)
     }
 
-    /// Gives a new folder its identity; one with a log but no identity lost it.
-    fn adopt(&mut self) -> Result<(), StorageError> {
-        let is_new = self.replay.head_is_empty() && self.snapshot.is_none();
+    /// Assigns an identity to a new folder.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the folder has a log, because it then lost its identity.
+    fn assign_identity(&mut self) -> Result<(), StorageError> {
+        let is_new = self.replay.is_empty() && self.snapshot.is_none();
         if !is_new {
             let file = self.folder.file("identity");
             return Err(StorageError::damaged(
@@ -91,7 +95,7 @@
         self.folder.set_identity(self.id)
     }
 
-    /// Returns the identity of the disk.
+    /// Returns the identity of the replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
@@ -111,7 +115,7 @@
         let bytes = match fs::read(&file) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(StorageError::at(&file, error)),
+            Err(error) => return Err(StorageError::from_io(&file, error)),
         };
         let damaged = |problem: String| StorageError::damaged(&file, 0, problem);
         let frame = frame::decode(&bytes, 0).filter(|f| f.kind == Kind::Snapshot);
@@ -123,7 +127,7 @@
     fn save_snapshot(&mut self, snapshot: &Arc<Snapshot>) -> Result<(), StorageError> {
         let file = self.folder.file(SNAPSHOT_FILE);
         let json = serde_json::to_vec(&**snapshot).map_err(io::Error::from);
-        let content = json.map_err(|e| StorageError::at(&file, e))?;
+        let content = json.map_err(|e| StorageError::from_io(&file, e))?;
         let mut bytes = Vec::new();
         frame::encode(Kind::Snapshot, &content, &mut bytes);
         self.folder.replace(SNAPSHOT_FILE, &bytes)?;
@@ -135,22 +139,23 @@
     fn roll(&mut self) -> Result<(), StorageError> {
         let number = self.open.as_ref().map_or(1, |s| s.number + 1);
         let path = self.folder.file(&segment::file_name(number));
-        let mut fresh = Segment::create(path, number)?;
+        let mut new_segment = Segment::create(path, number)?;
         self.folder.sync()?;
-        fresh.append(&[self.replay.head()])?;
-        let former = self.open.replace(fresh);
-        self.closed.extend(former.map(Segment::close));
+        new_segment.append(&[self.replay.header_record()])?;
+        let previous = self.open.replace(new_segment);
+        self.closed.extend(previous.map(Segment::close));
         Ok(())
     }
 
-    /// Deletes the segments from the start that the snapshot covers.
+    /// Deletes the oldest segments, as long as the snapshot contains their entries.
     fn delete_covered(&mut self) -> Result<(), StorageError> {
         let index = self.snapshot.as_ref().map_or(0, |s| s.position.index);
-        let is_covered = |c: &mut Closed| c.last <= index;
+        let is_covered = |c: &mut ClosedSegment| c.last <= index;
         while let Some(covered) = self.closed.pop_front_if(is_covered) {
             let file = self.folder.file(&segment::file_name(covered.number));
-            fs::remove_file(&file).map_err(|e| StorageError::at(&file, e))?;
-            // One at a time, so that a crash never leaves a gap.
+            fs::remove_file(&file).map_err(|e| StorageError::from_io(&file, e))?;
+            // Syncs after each deletion, so that a crash leaves no gap between
+            // segments.
             self.folder.sync()?;
         }
         self.replay.compact(index);
@@ -169,7 +174,7 @@
         if self
             .open
             .as_ref()
-            .is_none_or(|s| s.length() >= self.limits.segment)
+            .is_none_or(|s| s.length() >= self.limits.segment_bytes)
         {
             self.roll()?;
         }
@@ -177,7 +182,7 @@
             open.append(&records)?;
         }
         for record in records {
-            self.replay.take(record).map_err(|problem| {
+            self.replay.apply(record).map_err(|problem| {
                 let file = self.folder.file(SNAPSHOT_FILE);
                 StorageError::damaged(&file, 0, problem)
             })?;
@@ -222,7 +227,7 @@
                 self.open = Some(Segment::reopen(path, number, &scan)?);
             } else {
                 let last = scan.last;
-                self.closed.push_back(Closed { number, last });
+                self.closed.push_back(ClosedSegment { number, last });
             }
         }
         if self.open.is_none() {
--- a/crates/sequoiawing_consensus/src/storage/error.rs
+++ b/crates/sequoiawing_consensus/src/storage/error.rs
@@ -1,7 +1,7 @@
 use std::{io, path::PathBuf};
 use thiserror::Error;
 
-/// Why the storage cannot be used.
+/// An error of the durable storage.
 #[derive(Debug, Error)]
 pub enum StorageError {
     /// Another process uses the data folder.
@@ -10,14 +10,14 @@
         /// The data folder.
         folder: PathBuf,
     },
-    /// Something that was synced cannot be read back.
+    /// Data that was synced cannot be read back.
     #[error("{} is damaged at byte {offset}: {problem}", file.display())]
     Damaged {
         /// The file.
         file: PathBuf,
-        /// Where the damage begins, in bytes.
+        /// The offset of the damage, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// A description of the damage.
         problem: String,
     },
     /// The disk is full; the writes were not made.
@@ -26,7 +26,7 @@
         /// The file.
         file: PathBuf,
     },
-    /// The operating system could not say whether synced data is on the disk.
+    /// A sync failed, so it is unknown whether the data is durable.
     #[error("{} could not be synced: {source}", file.display())]
     Sync {
         /// The file.
@@ -34,7 +34,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// The disk failed otherwise.
+    /// Another I/O error occurred.
     #[error("{}: {source}", file.display())]
     Io {
         /// The file.
@@ -45,7 +45,7 @@
 }
 
 impl StorageError {
-    pub(super) fn at(file: &std::path::Path, source: io::Error) -> Self {
+    pub(super) fn from_io(file: &std::path::Path, source: io::Error) -> Self {
         let file = file.to_owned();
         if matches!(
             source.kind(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reports whether the storage may be tried again without a restart of the
+    /// Returns `true` if the operation may be retried without restarting the
     /// process.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::Full { .. } | Self::Io { .. })
--- a/crates/sequoiawing_consensus/src/storage/folder.rs
+++ b/crates/sequoiawing_consensus/src/storage/folder.rs
@@ -9,22 +9,22 @@
 const LOCK_FILE: &str = "lock";
 const IDENTITY_FILE: &str = "identity";
 
-/// A data folder that this process alone holds.
+/// A data folder that is locked by this process.
 #[derive(Debug)]
 pub(super) struct Folder {
     path: PathBuf,
-    /// Unlocked when the process ends, however it ends.
+    /// The lock, which the operating system releases even if the process crashes.
     _lock: File,
 }
 
 impl Folder {
-    /// Makes the folder if necessary and locks it.
+    /// Opens and locks the folder, and creates it if necessary.
     pub(super) fn open(path: &Path) -> Result<Self, StorageError> {
-        fs::create_dir_all(path).map_err(|e| StorageError::at(path, e))?;
+        fs::create_dir_all(path).map_err(|e| StorageError::from_io(path, e))?;
         let file = path.join(LOCK_FILE);
         let mut options = OpenOptions::new();
         let opened = options.create(true).truncate(false).write(true).open(&file);
-        let lock = opened.map_err(|e| StorageError::at(&file, e))?;
+        let lock = opened.map_err(|e| StorageError::from_io(&file, e))?;
         match lock.try_lock() {
             Ok(()) => Ok(Self {
                 path: path.to_owned(),
@@ -33,7 +33,7 @@
             Err(TryLockError::WouldBlock) => Err(StorageError::InUse {
                 folder: path.to_owned(),
             }),
-            Err(TryLockError::Error(error)) => Err(StorageError::at(&file, error)),
+            Err(TryLockError::Error(error)) => Err(StorageError::from_io(&file, error)),
         }
     }
 
@@ -41,7 +41,7 @@
         self.path.join(name)
     }
 
-    /// Returns the names of all files.
+    /// Returns the names of all files in the folder.
     pub(super) fn names(&self) -> Result<Vec<String>, StorageError> {
         let list = || -> io::Result<Vec<String>> {
             let entries = fs::read_dir(&self.path)?;
@@ -49,35 +49,35 @@
             let names: io::Result<Vec<_>> = entries.map(name).collect();
             Ok(names?.into_iter().flatten().collect())
         };
-        list().map_err(|e| StorageError::at(&self.path, e))
+        list().map_err(|e| StorageError::from_io(&self.path, e))
     }
 
-    /// Makes the names of new, renamed and deleted files durable.
+    /// Syncs the directory, so that created, renamed and deleted files are durable.
     pub(super) fn sync(&self) -> Result<(), StorageError> {
         let synced = File::open(&self.path).and_then(|f| f.sync_all());
-        synced.map_err(|e| StorageError::at(&self.path, e))
+        synced.map_err(|e| StorageError::from_io(&self.path, e))
     }
 
-    /// Replaces a file in one step, so that a crash leaves the old or the new.
+    /// Replaces a file atomically: after a crash it has its old or new content.
     pub(super) fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
-        let fresh = self.file(&format!("{name}.new"));
+        let temporary = self.file(&format!("{name}.new"));
         let write = || -> io::Result<()> {
-            let mut file = File::create(&fresh)?;
+            let mut file = File::create(&temporary)?;
             file.write_all(bytes)?;
             file.sync_all()?;
-            fs::rename(&fresh, self.file(name))
+            fs::rename(&temporary, self.file(name))
         };
-        write().map_err(|e| StorageError::at(&fresh, e))?;
+        write().map_err(|e| StorageError::from_io(&temporary, e))?;
         self.sync()
     }
 
-    /// Returns the identity of the disk, if it has one.
+    /// Returns the identity of the replica, or `None` if the folder is new.
     pub(super) fn identity(&self) -> Result<Option<ReplicaId>, StorageError> {
         let file = self.file(IDENTITY_FILE);
         let text = match fs::read_to_string(&file) {
             Ok(text) => text,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(StorageError::at(&file, error)),
+            Err(error) => return Err(StorageError::from_io(&file, error)),
         };
         let damaged = || StorageError::damaged(&file, 0, "holds no identity");
         let (id, sum) = text.trim_end().split_once(' ').ok_or_else(damaged)?;
@@ -89,7 +89,7 @@
         Ok(Some(ReplicaId(id)))
     }
 
-    /// Gives the disk its identity.
+    /// Stores the identity of the replica.
     pub(super) fn set_identity(&self, id: ReplicaId) -> Result<(), StorageError> {
         let id = id.to_string();
         let sum = crc32fast::hash(id.as_bytes());
--- a/crates/sequoiawing_consensus/src/storage/frame.rs
+++ b/crates/sequoiawing_consensus/src/storage/frame.rs
@@ -1,21 +1,22 @@
-//! Frames that tell whole writes from torn ones.
+//! Checksummed frames that distinguish complete writes from torn ones.
 //!
-//! A frame is a kind, a length, a checksum and the bytes. A batch frame holds
-//! all that one sync makes durable. Once the sync returned, a marker frame
-//! follows; so a damaged frame before a marker was durable and is no torn tail.
+//! A frame consists of a tag for its kind, a length, a checksum and the content.
+//! A batch frame holds all records that one sync makes durable. A marker frame is
+//! written after the sync has returned; so a damaged frame before a marker was
+//! durable and is not the result of a torn write.
 
-/// The bytes before the content of a frame: kind, length and checksum.
+/// The size of the frame header in bytes: tag, length and checksum.
 pub(super) const HEADER_BYTES: usize = 12;
 
-/// The largest content of a frame, in bytes.
+/// The maximum size of the content of a frame, in bytes.
 const MAX_CONTENT: usize = 1024 * 1024 * 1024;
 
-/// What a frame is for.
+/// The kind of a frame.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Kind {
-    /// Everything that one sync makes durable.
+    /// Records that are made durable by one sync.
     Batch,
-    /// All frames before it in the file are durable.
+    /// Marks all preceding frames in the file as durable.
     Marker,
     /// A snapshot.
     Snapshot,
@@ -27,27 +28,28 @@
     (Kind::Snapshot, *b"SwS1"),
 ];
 
-/// A frame that was found whole.
+/// A frame whose checksum is valid.
 #[derive(Debug)]
 pub(super) struct Frame<'a> {
     pub(super) kind: Kind,
     pub(super) content: &'a [u8],
-    /// The offset just after the frame.
+    /// The offset of the first byte after the frame.
     pub(super) end: usize,
 }
 
-/// Appends a frame.
+/// Appends an encoded frame to `out`.
 pub(super) fn encode(kind: Kind, content: &[u8], out: &mut Vec<u8>) {
     let tag = KINDS.iter().find(|(k, _)| *k == kind).map(|(_, tag)| *tag);
-    let tag = tag.expect("every kind has a tag");
-    let length = u32::try_from(content.len()).expect("a frame is below 4 GiB");
+    let tag = tag.expect("every frame kind must have a tag");
+    let length =
+        u32::try_from(content.len()).expect("the content of a frame must be smaller than 4 GiB");
     out.extend(tag);
     out.extend(length.to_le_bytes());
     out.extend(checksum(tag, length, content).to_le_bytes());
     out.extend(content);
 }
 
-/// Returns the frame at `offset`, or `None` when there is no whole one.
+/// Returns the frame at `offset`, or `None` if it is incomplete or damaged.
 pub(super) fn decode(bytes: &[u8], offset: usize) -> Option<Frame<'_>> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let tag: [u8; 4] = header[..4].try_into().ok()?;
@@ -57,15 +59,15 @@
     let size = usize::try_from(length).ok().filter(|l| *l <= MAX_CONTENT)?;
     let start = offset + HEADER_BYTES;
     let content = bytes.get(start..start.checked_add(size)?)?;
-    let is_whole = checksum(tag, length, content) == sum;
-    is_whole.then_some(Frame {
+    let is_intact = checksum(tag, length, content) == sum;
+    is_intact.then_some(Frame {
         kind: *kind,
         content,
         end: start + size,
     })
 }
 
-/// Reports whether a marker stands anywhere from `offset` on.
+/// Returns `true` if there is a valid marker frame at or after `offset`.
 pub(super) fn has_marker(bytes: &[u8], offset: usize) -> bool {
     let tag = KINDS[1].1;
     let rest = &bytes[offset.min(bytes.len())..];
--- a/crates/sequoiawing_consensus/src/storage/mod.rs
+++ b/crates/sequoiawing_consensus/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on its disk.
+//! The durable storage of a replica.
 
 mod disk;
 mod error;
@@ -10,17 +10,18 @@
 pub use disk::{DiskStorage, StorageLimits};
 pub use error::StorageError;
 
-use crate::{Ballot, Entry, ReplicaId, Snapshot, Write};
+use crate::{Entry, HardState, ReplicaId, Snapshot, Write};
 use std::sync::Arc;
 
-/// What a replica finds on its disk when it starts.
+/// The state that a replica loads from its disk when it starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Loaded {
     /// The term and vote.
-    pub ballot: Ballot,
-    /// The founder to which an empty disk is promised.
-    pub founder: Option<ReplicaId>,
-    /// The snapshot; `None` while the disk belongs to no deployment.
+    pub hard_state: HardState,
+    /// The bootstrap replica that an empty disk is promised to, if any.
+    pub promised_to: Option<ReplicaId>,
+    /// The latest snapshot, or `None` if the disk does not belong to a deployment
+    /// yet.
     pub snapshot: Option<Arc<Snapshot>>,
     /// The entries after the snapshot.
     pub entries: Vec<Entry>,
@@ -28,21 +29,23 @@
     pub commit: u64,
 }
 
-/// A place that keeps writes over a crash.
+/// A storage whose writes survive a crash.
 pub trait LogStorage: Send {
-    /// Makes writes durable, in order; nothing may be lost once it returns.
+    /// Makes writes durable, in order.
+    ///
+    /// Once it returns successfully, none of the writes may be lost.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is not certain that all writes are durable.
-    /// The replica must then start anew from what [`LogStorage::load`] finds.
+    /// Returns an error if it is not certain that all writes are durable. The
+    /// replica must then restart from the result of [`LogStorage::load`].
     fn write(&mut self, writes: &[Write]) -> Result<(), StorageError>;
 
-    /// Reads back all that is durable.
+    /// Loads all durable state.
     ///
     /// # Errors
     ///
-    /// Returns an error with its place when something durable is damaged; the
-    /// host must then not vote.
+    /// Returns an error with the file and offset if durable data is damaged; the
+    /// replica must then not vote.
     fn load(&mut self) -> Result<Loaded, StorageError>;
 }
--- a/crates/sequoiawing_consensus/src/storage/replay.rs
+++ b/crates/sequoiawing_consensus/src/storage/replay.rs
@@ -1,18 +1,21 @@
 use super::Loaded;
-use crate::{Ballot, Entry, ReplicaId, Snapshot, Write};
+use crate::{Entry, HardState, ReplicaId, Snapshot, Write};
 use serde::{Deserialize, Serialize};
 use std::{collections::VecDeque, sync::Arc};
 
-/// One write as a segment holds it; the snapshot is in a file of its own.
+/// The form of a [`Write`] in a segment, without the snapshot, which has its own
+/// file.
 #[derive(Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub(super) struct Record {
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     reset: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
-    ballot: Option<Ballot>,
+    #[serde(rename = "ballot")]
+    hard_state: Option<HardState>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    founder: Option<ReplicaId>,
+    #[serde(rename = "founder")]
+    promised_to: Option<ReplicaId>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub(super) entries: Vec<Entry>,
     commit: u64,
@@ -22,51 +25,55 @@
     fn from(write: &Write) -> Self {
         Self {
             reset: write.reset,
-            ballot: write.ballot,
-            founder: write.founder,
+            hard_state: write.hard_state,
+            promised_to: write.promised_to,
             entries: write.entries.clone(),
             commit: write.commit,
         }
     }
 }
 
-/// The state that the records of all segments lead to.
+/// The state after applying the records of all segments.
 #[derive(Debug, Default)]
 pub(super) struct Replay {
-    pub(super) ballot: Ballot,
-    pub(super) founder: Option<ReplicaId>,
+    pub(super) hard_state: HardState,
+    pub(super) promised_to: Option<ReplicaId>,
     pub(super) commit: u64,
     entries: VecDeque<Entry>,
 }
 
 impl Replay {
-    /// Returns the record that a new segment starts with, so that older ones
-    /// can be deleted.
-    pub(super) fn head(&self) -> Record {
+    /// Returns the first record of a new segment.
+    ///
+    /// It repeats the state other than entries, so that earlier segments can be
+    /// deleted.
+    pub(super) fn header_record(&self) -> Record {
         Record {
-            ballot: Some(self.ballot),
-            founder: self.founder,
+            hard_state: Some(self.hard_state),
+            promised_to: self.promised_to,
             commit: self.commit,
             ..Record::default()
         }
     }
 
-    /// Reports whether nothing was ever written.
-    pub(super) fn head_is_empty(&self) -> bool {
-        self.ballot == Ballot::default() && self.founder.is_none() && self.entries.is_empty()
+    /// Returns `true` if there is no term, vote, promise or entry.
+    pub(super) fn is_empty(&self) -> bool {
+        self.hard_state == HardState::default()
+            && self.promised_to.is_none()
+            && self.entries.is_empty()
     }
 
-    /// Takes in the next record.
+    /// Applies the next record.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong when an entry does not follow the one before.
-    pub(super) fn take(&mut self, record: Record) -> Result<(), String> {
+    /// Returns a description if an entry does not directly follow its predecessor.
+    pub(super) fn apply(&mut self, record: Record) -> Result<(), String> {
         if record.reset {
             self.entries.clear();
         }
-        self.ballot = record.ballot.unwrap_or(self.ballot);
-        self.founder = record.founder.or(self.founder);
+        self.hard_state = record.hard_state.unwrap_or(self.hard_state);
+        self.promised_to = record.promised_to.or(self.promised_to);
         self.commit = self.commit.max(record.commit);
         for entry in record.entries {
             self.push(entry)?;
@@ -88,20 +95,21 @@
         Ok(())
     }
 
-    /// Drops the entries that a snapshot contains.
+    /// Removes the entries up to and including `index`, which a snapshot contains.
     pub(super) fn compact(&mut self, index: u64) {
         while self.entries.front().is_some_and(|e| e.index <= index) {
             self.entries.pop_front();
         }
     }
 
-    /// Returns what a replica starts from.
+    /// Returns the state that a replica starts from.
     ///
-    /// Entries after a snapshot that does not fit them were replaced by it.
+    /// If the entries do not continue the snapshot, the snapshot replaced them, and
+    /// they are omitted.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong when entries are missing after the snapshot.
+    /// Returns a description if entries after the snapshot are missing.
     pub(super) fn finish(&self, snapshot: Option<Arc<Snapshot>>) -> Result<Loaded, String> {
         let base = snapshot.as_ref().map(|s| s.position).unwrap_or_default();
         let at_base = self.entries.iter().find(|e| e.index == base.index);
@@ -120,17 +128,18 @@
         let after = self.entries.iter().filter(|e| fits && e.index > base.index);
         let entries: Vec<_> = after.cloned().collect();
         let last = base.index + entries.len() as u64;
-        let mut ballot = self.ballot;
-        if base.term > ballot.term {
-            // The snapshot became durable just before the ballot of its term.
-            ballot = Ballot {
+        let mut hard_state = self.hard_state;
+        if base.term > hard_state.term {
+            // A crash occurred after the snapshot became durable but before the
+            // term and vote of the same write did.
+            hard_state = HardState {
                 term: base.term,
                 vote: None,
             };
         }
         Ok(Loaded {
-            ballot,
-            founder: self.founder,
+            hard_state,
+            promised_to: self.promised_to,
             commit: self.commit.clamp(base.index, last),
             snapshot,
             entries,
--- a/crates/sequoiawing_consensus/src/storage/segment.rs
+++ b/crates/sequoiawing_consensus/src/storage/segment.rs
@@ -17,38 +17,38 @@
     format!("{PREFIX}{number:012}{SUFFIX}")
 }
 
-/// Returns the number of the segment with that file name.
+/// Returns the segment number in a file name, or `None` for other files.
 pub(super) fn parse_name(name: &str) -> Option<u64> {
     let number = name.strip_prefix(PREFIX)?.strip_suffix(SUFFIX)?;
     number.parse().ok()
 }
 
-/// A file of the log that is not written any more.
+/// A segment that is no longer written to.
 #[derive(Debug)]
-pub(super) struct Closed {
+pub(super) struct ClosedSegment {
     pub(super) number: u64,
     /// The highest index of its entries.
     pub(super) last: u64,
 }
 
-/// The file of the log that is written.
+/// The segment that is currently written to.
 #[derive(Debug)]
 pub(super) struct Segment {
     pub(super) number: u64,
     path: PathBuf,
     file: File,
-    /// The bytes that are durable, with their marker.
+    /// The length of the durable frames and their marker, in bytes.
     length: u64,
     /// The highest index of its entries.
     last: u64,
 }
 
 impl Segment {
-    /// Makes a new file.
+    /// Creates a new segment file.
     pub(super) fn create(path: PathBuf, number: u64) -> Result<Self, StorageError> {
         let mut options = OpenOptions::new();
         let opened = options.create(true).truncate(true).write(true).open(&path);
-        let file = opened.map_err(|e| StorageError::at(&path, e))?;
+        let file = opened.map_err(|e| StorageError::from_io(&path, e))?;
         Ok(Self {
             number,
             path,
@@ -58,16 +58,15 @@
         })
     }
 
-    /// Opens the last file after `length` of its bytes were found whole, and
-    /// cuts off the rest.
+    /// Reopens the last segment and truncates it after the last intact frame.
     pub(super) fn reopen(path: PathBuf, number: u64, scan: &Scan) -> Result<Self, StorageError> {
-        let cut = || -> io::Result<File> {
+        let truncate = || -> io::Result<File> {
             let file = OpenOptions::new().write(true).open(&path)?;
             file.set_len(scan.length)?;
             file.sync_all()?;
             Ok(file)
         };
-        let file = cut().map_err(|e| StorageError::at(&path, e))?;
+        let file = truncate().map_err(|e| StorageError::from_io(&path, e))?;
         let mut segment = Self {
             number,
             path,
@@ -75,7 +74,7 @@
             length: scan.length,
             last: scan.last,
         };
-        segment.mark()?;
+        segment.write_marker()?;
         Ok(segment)
     }
 
@@ -83,8 +82,8 @@
         self.length
     }
 
-    pub(super) fn close(self) -> Closed {
-        Closed {
+    pub(super) fn close(self) -> ClosedSegment {
+        ClosedSegment {
             number: self.number,
             last: self.last,
         }
@@ -92,17 +91,18 @@
 
     /// Appends records as one batch and syncs it.
     ///
-    /// When the disk is full, what was written is cut off again.
+    /// If the write fails, for example on a full disk, the segment is truncated to
+    /// its previous length.
     pub(super) fn append(&mut self, records: &[Record]) -> Result<(), StorageError> {
         let json = serde_json::to_vec(records).map_err(io::Error::from);
-        let content = json.map_err(|e| StorageError::at(&self.path, e))?;
+        let content = json.map_err(|e| StorageError::from_io(&self.path, e))?;
         let mut bytes = Vec::with_capacity(content.len() + frame::HEADER_BYTES);
         frame::encode(Kind::Batch, &content, &mut bytes);
         if let Err(error) = self.write_at(self.length, &bytes) {
             self.file.set_len(self.length).ok();
-            return Err(StorageError::at(&self.path, error));
+            return Err(StorageError::from_io(&self.path, error));
         }
-        // After a failed sync nobody can tell what the disk holds.
+        // After a failed sync it is unknown which data is durable.
         self.file.sync_data().map_err(|source| StorageError::Sync {
             file: self.path.clone(),
             source,
@@ -110,11 +110,11 @@
         self.length += bytes.len() as u64;
         let entries = records.iter().flat_map(|r| &r.entries);
         self.last = entries.map(|e| e.index).fold(self.last, u64::max);
-        self.mark()
+        self.write_marker()
     }
 
-    /// Writes a marker, which need not be durable itself.
-    fn mark(&mut self) -> Result<(), StorageError> {
+    /// Appends a marker, which does not need to be durable itself.
+    fn write_marker(&mut self) -> Result<(), StorageError> {
         let mut bytes = Vec::new();
         frame::encode(Kind::Marker, &[], &mut bytes);
         match self.write_at(self.length, &bytes) {
@@ -122,7 +122,7 @@
             Err(error) => {
                 self.file.set_len(self.length).ok();
                 if error.kind() != io::ErrorKind::StorageFull {
-                    return Err(StorageError::at(&self.path, error));
+                    return Err(StorageError::from_io(&self.path, error));
                 }
             }
         }
@@ -135,20 +135,21 @@
     }
 }
 
-/// What reading a segment found.
+/// The result of scanning a segment.
 #[derive(Debug, Default)]
 pub(super) struct Scan {
-    /// The bytes up to the end of the last whole frame.
+    /// The length up to the end of the last intact frame, in bytes.
     pub(super) length: u64,
     /// The highest index of its entries.
     pub(super) last: u64,
 }
 
-/// Reads a segment into `replay`.
+/// Applies the records of a segment to `replay`.
 ///
-/// Only the last segment may end in a torn frame: one that no marker follows.
+/// Only the last segment may end in a torn frame, that is, in a damaged frame
+/// that no marker follows.
 pub(super) fn scan(path: &Path, is_last: bool, replay: &mut Replay) -> Result<Scan, StorageError> {
-    let bytes = fs::read(path).map_err(|e| StorageError::at(path, e))?;
+    let bytes = fs::read(path).map_err(|e| StorageError::from_io(path, e))?;
     let mut scan = Scan::default();
     let mut offset = 0;
     while offset < bytes.len() {
@@ -166,8 +167,8 @@
             for record in records {
                 let indexes = record.entries.iter().map(|e| e.index);
                 scan.last = indexes.fold(scan.last, u64::max);
-                let taken = replay.take(record);
-                taken.map_err(|problem| StorageError::damaged(path, place, problem))?;
+                let applied = replay.apply(record);
+                applied.map_err(|problem| StorageError::damaged(path, place, problem))?;
             }
         }
         offset = frame.end;
--- a/crates/sequoiawing_consensus/tests/harness/checker.rs
+++ b/crates/sequoiawing_consensus/tests/harness/checker.rs
@@ -25,7 +25,7 @@
 
 impl Checker {
     /// The highest index that was applied anywhere.
-    pub(crate) fn frontier(&self) -> u64 {
+    pub(crate) fn highest_applied(&self) -> u64 {
         self.applied.last_key_value().map_or(0, |(index, _)| *index)
     }
 
@@ -35,7 +35,7 @@
         self.applied.values().filter(|(e, _)| payload(e)).count()
     }
 
-    pub(crate) fn wrote(&mut self, write: &Write) {
+    pub(crate) fn check_write(&mut self, write: &Write) {
         for (i, entry) in write.entries.iter().enumerate() {
             let key = (entry.index, entry.term);
             let known = self.written.entry(key).or_insert_with(|| entry.clone());
@@ -50,7 +50,12 @@
         }
     }
 
-    pub(crate) fn applied(&mut self, host: &Name, state: (u64, u64), entry: &Entry) -> (u64, u64) {
+    pub(crate) fn check_apply(
+        &mut self,
+        host: &Name,
+        state: (u64, u64),
+        entry: &Entry,
+    ) -> (u64, u64) {
         assert_eq!(state.0 + 1, entry.index, "{host} applies without gaps");
         let mut hasher = DefaultHasher::new();
         (state.1, format!("{:?}", entry.payload)).hash(&mut hasher);
@@ -65,7 +70,7 @@
         (entry.index, after)
     }
 
-    pub(crate) fn restored(&self, snapshot: &Snapshot) -> (u64, u64) {
+    pub(crate) fn check_restore(&self, snapshot: &Snapshot) -> (u64, u64) {
         let index = snapshot.position.index;
         let (entry, hash) = &self.applied[&index];
         assert_eq!(
@@ -80,7 +85,7 @@
         (index, *hash)
     }
 
-    pub(crate) fn elected(&mut self, replica: &Replica) {
+    pub(crate) fn check_election(&mut self, replica: &Replica) {
         let (term, id) = (replica.term(), replica.id());
         let known = *self.leaders.entry(term).or_insert(id);
         assert_eq!(known, id, "one leader in term {term}");
@@ -92,11 +97,11 @@
         }
     }
 
-    pub(crate) fn asked(&mut self, token: Token) {
-        self.reads.insert(token, self.frontier());
+    pub(crate) fn record_read(&mut self, token: Token) {
+        self.reads.insert(token, self.highest_applied());
     }
 
-    pub(crate) fn read(&self, token: Token, applied: u64) {
+    pub(crate) fn check_read(&self, token: Token, applied: u64) {
         let asked = self.reads[&token];
         assert!(
             asked <= applied,
--- a/crates/sequoiawing_consensus/tests/harness/disk.rs
+++ b/crates/sequoiawing_consensus/tests/harness/disk.rs
@@ -44,8 +44,8 @@
             loaded.entries.retain(|e| e.index > index);
             loaded.snapshot = Some(snapshot);
         }
-        loaded.ballot = write.ballot.unwrap_or(loaded.ballot);
-        loaded.founder = write.founder.or(loaded.founder);
+        loaded.hard_state = write.hard_state.unwrap_or(loaded.hard_state);
+        loaded.promised_to = write.promised_to.or(loaded.promised_to);
         for entry in write.entries {
             loaded.entries.retain(|e| e.index < entry.index);
             loaded.entries.push(entry);
--- a/crates/sequoiawing_consensus/tests/harness/plant.rs
+++ b/crates/sequoiawing_consensus/tests/harness/fault.rs
@@ -4,9 +4,9 @@
 
 /// A fault in the storage or in the driver that the checker must catch.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) enum Plant {
+pub(crate) enum Fault {
     #[default]
-    Nothing,
+    None,
     /// Votes are answered without being synced.
     VoteNotSynced,
     /// A restarted voter votes at once.
@@ -20,7 +20,7 @@
 impl Cluster {
     /// The planted fault of a leader that counts replicas of older entries.
     pub(super) fn commit_older_terms(&mut self, host: &Name) {
-        if self.plant != Plant::OlderTermCommitted {
+        if self.fault != Fault::OlderTermCommitted {
             return;
         }
         let replica = self.nodes[host].replica.as_ref().expect("it runs");
@@ -38,7 +38,7 @@
             if self.nodes.values().filter(holds).count() < majority {
                 break;
             }
-            state = self.checker.applied(host, state, entry);
+            state = self.checker.check_apply(host, state, entry);
         }
     }
 }
--- a/crates/sequoiawing_consensus/tests/harness/mod.rs
+++ b/crates/sequoiawing_consensus/tests/harness/mod.rs
@@ -6,14 +6,14 @@
 
 mod checker;
 mod disk;
+mod fault;
 mod network;
-mod plant;
-pub(crate) mod torment;
+pub(crate) mod random_faults;
 
 pub(crate) use checker::Checker;
 use disk::Disk;
+pub(crate) use fault::Fault;
 pub(crate) use network::Network;
-pub(crate) use plant::Plant;
 use rand_chacha::{
     ChaCha8Rng,
     rand_core::{Rng, SeedableRng},
@@ -36,7 +36,7 @@
 pub(crate) const MS: Micros = 1_000;
 const TICK: Micros = 20 * MS;
 
-enum Happening {
+enum SimEvent {
     Tick(Name, u64),
     Deliver {
         to: Name,
@@ -49,7 +49,7 @@
     Call(Name, Event),
 }
 
-struct Held {
+struct DeferredSend {
     after: u64,
     to: ReplicaId,
     message: Message,
@@ -61,7 +61,7 @@
     /// Counts the starts, so that what an earlier process began is dropped.
     boot: u64,
     synced: u64,
-    held: Vec<Held>,
+    held: Vec<DeferredSend>,
     /// The clock's speed in parts per thousand, and its origin.
     rate: u64,
     origin: Micros,
@@ -77,17 +77,17 @@
     pub(crate) network: Network,
     pub(crate) cuts: BTreeSet<(Name, Name)>,
     pub(crate) checker: Checker,
-    pub(crate) plant: Plant,
+    pub(crate) fault: Fault,
     /// What became of each caller.
     pub(crate) answers: BTreeMap<Token, Result<u64, Refusal>>,
-    queue: BTreeMap<(Micros, u64), Happening>,
+    queue: BTreeMap<(Micros, u64), SimEvent>,
     queued: u64,
     voters: Vec<Name>,
     next_id: u64,
     next_token: Token,
     pub(crate) snapshot_entries: u64,
     pub(crate) replace_after: Option<Duration>,
-    pub(crate) grow_to: usize,
+    pub(crate) target_voters: usize,
 }
 
 impl Cluster {
@@ -99,7 +99,7 @@
             network,
             cuts: BTreeSet::new(),
             checker: Checker::default(),
-            plant: Plant::Nothing,
+            fault: Fault::None,
             answers: BTreeMap::new(),
             queue: BTreeMap::new(),
             queued: 0,
@@ -108,7 +108,7 @@
             next_token: 1,
             snapshot_entries: 20,
             replace_after: None,
-            grow_to: 0,
+            target_voters: 0,
         };
         for host in cluster.voters.clone() {
             cluster.add(&host);
@@ -142,7 +142,7 @@
         range.0 + self.below(range.1 - range.0 + 1)
     }
 
-    fn push(&mut self, at: Micros, happening: Happening) {
+    fn push(&mut self, at: Micros, happening: SimEvent) {
         self.queued += 1;
         self.queue.insert((at, self.queued), happening);
     }
@@ -168,9 +168,9 @@
         let voters = self.voters.clone();
         let entries = self.snapshot_entries;
         let replace_after = self.replace_after;
-        let grow_to = self.grow_to;
+        let target_voters = self.target_voters;
         let seed = self.below(u64::MAX);
-        let is_plant = self.plant == Plant::LeaseNotWaited;
+        let skips_lease_wait = self.fault == Fault::LeaseNotWaited;
         let node = self.node(host);
         node.boot += 1;
         node.rate = rate;
@@ -183,19 +183,19 @@
         settings.seed = seed;
         settings.snapshot_entries = entries;
         settings.replace_after = replace_after;
-        settings.grow_to = grow_to;
+        settings.target_voters = target_voters;
         let loaded = node.disk.loaded.clone();
         let boot = node.boot;
         let mut out = Vec::new();
         let mut now = self.clock(host);
-        if is_plant {
+        if skips_lease_wait {
             let early = now - Time::ZERO;
-            now = Time::ZERO + early.saturating_sub(settings.timing.election);
+            now = Time::ZERO + early.saturating_sub(settings.timing.election_timeout);
         }
         let replica = Replica::start(settings, loaded, now, &mut out);
         self.node(host).replica = Some(replica);
-        self.carry_out(host, out);
-        self.push(self.now, Happening::Tick(host.clone(), boot));
+        self.perform(host, out);
+        self.push(self.now, SimEvent::Tick(host.clone(), boot));
     }
 
     /// Kills the process; some of what it had not synced may be on the disk.
@@ -214,7 +214,7 @@
         self.crash(host);
         let fresh = ReplicaId(self.next_id);
         self.next_id += 1;
-        let keeps = self.plant == Plant::LostDiskVotes;
+        let keeps = self.fault == Fault::LostDiskVotes;
         let node = self.node(host);
         let former = node.disk.id;
         let members = node.disk.loaded.snapshot.clone();
@@ -243,17 +243,17 @@
                 break;
             }
             self.now = self.now.max(at);
-            self.happen(happening);
+            self.dispatch(happening);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn dispatch(&mut self, happening: SimEvent) {
         let host = match &happening {
-            Happening::Tick(host, _) | Happening::Synced(host, ..) | Happening::Call(host, _) => {
+            SimEvent::Tick(host, _) | SimEvent::Synced(host, ..) | SimEvent::Call(host, _) => {
                 host.clone()
             }
-            Happening::Deliver { to, .. } => to.clone(),
+            SimEvent::Deliver { to, .. } => to.clone(),
         };
         let Some(node) = self.nodes.get(&host) else {
             return;
@@ -265,14 +265,14 @@
             return;
         }
         match happening {
-            Happening::Tick(_, boot) if boot == node.boot && node.replica.is_some() => {
-                self.push(self.now + TICK, Happening::Tick(host.clone(), boot));
-                self.tell(&host, Event::Tick);
+            SimEvent::Tick(_, boot) if boot == node.boot && node.replica.is_some() => {
+                self.push(self.now + TICK, SimEvent::Tick(host.clone(), boot));
+                self.handle_event(&host, Event::Tick);
             }
-            Happening::Synced(_, boot, seq) if boot == node.boot && node.replica.is_some() => {
+            SimEvent::Synced(_, boot, seq) if boot == node.boot && node.replica.is_some() => {
                 self.synced(&host, seq);
             }
-            Happening::Deliver {
+            SimEvent::Deliver {
                 from,
                 sender,
                 receiver,
@@ -282,11 +282,11 @@
                 let is_here = receiver.is_none_or(|id| id == node.disk.id);
                 if is_here && !self.cuts.contains(&(from, host.clone())) {
                     let from = sender;
-                    self.tell(&host, Event::Receive { from, message });
+                    self.handle_event(&host, Event::Receive { from, message });
                 }
             }
-            Happening::Call(_, event) => self.tell(&host, event),
-            Happening::Tick(..) | Happening::Synced(..) => {}
+            SimEvent::Call(_, event) => self.handle_event(&host, event),
+            SimEvent::Tick(..) | SimEvent::Synced(..) => {}
         }
     }
 
@@ -301,11 +301,11 @@
         for held in ready {
             self.send(host, held.to, held.message);
         }
-        self.tell(host, Event::Persisted(seq));
+        self.handle_event(host, Event::Persisted(seq));
     }
 
     /// Gives the replica an event and carries out what it wants.
-    pub(crate) fn tell(&mut self, host: &Name, event: Event) {
+    pub(crate) fn handle_event(&mut self, host: &Name, event: Event) {
         let now = self.clock(host);
         let node = self.node(host);
         let Some(replica) = &mut node.replica else {
@@ -317,54 +317,58 @@
         let is_elected = !was_leader && replica.role() == RoleName::Leader;
         if is_elected {
             let replica = self.nodes[host].replica.as_ref().expect("it runs");
-            self.checker.elected(replica);
+            self.checker.check_election(replica);
         }
-        self.carry_out(host, out);
+        self.perform(host, out);
         self.commit_older_terms(host);
         self.check();
     }
 
-    fn carry_out(&mut self, host: &Name, out: Vec<Action>) {
+    fn perform(&mut self, host: &Name, out: Vec<Action>) {
         for action in out {
             match action {
                 Action::Persist { seq, mut write } => {
-                    self.checker.wrote(&write);
-                    if self.plant == Plant::VoteNotSynced {
-                        write.ballot = None;
+                    self.checker.check_write(&write);
+                    if self.fault == Fault::VoteNotSynced {
+                        write.hard_state = None;
                     }
                     let boot = self.nodes[host].boot;
                     let at = self.now + self.between(self.network.sync);
                     let node = self.node(host);
                     node.disk.unsynced.push_back((seq, write));
-                    self.push(at, Happening::Synced(host.clone(), boot, seq));
+                    self.push(at, SimEvent::Synced(host.clone(), boot, seq));
                 }
                 Action::Send { to, message, after } => {
                     if after <= self.nodes[host].synced {
                         self.send(host, to, message);
                     } else {
-                        self.node(host).held.push(Held { after, to, message });
+                        self.node(host)
+                            .held
+                            .push(DeferredSend { after, to, message });
                     }
                 }
-                Action::Contact { host: to, message } => self.post(host, &to, None, &message),
+                Action::SendToHost { host: to, message } => {
+                    self.transmit(host, &to, None, &message);
+                }
                 Action::Apply { entry, token } => {
                     let node = self.nodes.get_mut(host).expect("the host exists");
-                    node.state = self.checker.applied(host, node.state, &entry);
+                    node.state = self.checker.check_apply(host, node.state, &entry);
                     if let Some(token) = token {
                         self.answers.insert(token, Ok(entry.index));
                     }
                 }
                 Action::Restore(snapshot) => {
-                    let state = self.checker.restored(&snapshot);
+                    let state = self.checker.check_restore(&snapshot);
                     self.node(host).state = state;
                 }
                 Action::TakeSnapshot => {
                     let (index, hash) = self.nodes[host].state;
                     let data = Arc::from(format!("{index} {hash}"));
-                    self.tell(host, Event::Snapshotted { index, data });
+                    self.handle_event(host, Event::SnapshotTaken { index, data });
                 }
-                Action::Readable(token) => {
+                Action::ReadReady(token) => {
                     let applied = self.nodes[host].state.0;
-                    self.checker.read(token, applied);
+                    self.checker.check_read(token, applied);
                     self.answers.insert(token, Ok(applied));
                 }
                 Action::Refuse { token, refusal } => {
@@ -380,11 +384,11 @@
             return;
         };
         for message in network::split(message, self.network.split) {
-            self.post(from, &host, Some(to), &message);
+            self.transmit(from, &host, Some(to), &message);
         }
     }
 
-    fn post(&mut self, from: &Name, to: &Name, receiver: Option<ReplicaId>, message: &Message) {
+    fn transmit(&mut self, from: &Name, to: &Name, receiver: Option<ReplicaId>, message: &Message) {
         let sender = self.nodes[from].disk.id;
         let copies = 1 + u64::from(self.below(1_000) < self.network.repeat);
         for _ in 0..copies {
@@ -392,7 +396,7 @@
                 continue;
             }
             let at = self.now + self.between(self.network.delay);
-            let happening = Happening::Deliver {
+            let happening = SimEvent::Deliver {
                 to: to.clone(),
                 from: from.clone(),
                 sender,
@@ -419,15 +423,15 @@
         let token = self.token();
         let command = Arc::from(command);
         let event = Event::Propose(vec![Proposal { token, command }]);
-        self.push(self.now, Happening::Call(host.clone(), event));
+        self.push(self.now, SimEvent::Call(host.clone(), event));
         token
     }
 
     /// Reads at a host and returns the caller's token.
     pub(crate) fn read(&mut self, host: &Name) -> Token {
         let token = self.token();
-        self.checker.asked(token);
-        self.push(self.now, Happening::Call(host.clone(), Event::Read(token)));
+        self.checker.record_read(token);
+        self.push(self.now, SimEvent::Call(host.clone(), Event::Read(token)));
         token
     }
 
@@ -468,7 +472,7 @@
     /// Undoes all faults.
     pub(crate) fn heal(&mut self) {
         self.cuts.clear();
-        self.network = Network::CALM;
+        self.network = Network::RELIABLE;
         let hosts: Vec<_> = self.nodes.keys().cloned().collect();
         for host in hosts {
             self.node(&host).frozen_until = 0;
--- a/crates/sequoiawing_consensus/tests/harness/network.rs
+++ b/crates/sequoiawing_consensus/tests/harness/network.rs
@@ -13,14 +13,14 @@
 }
 
 impl Network {
-    pub(crate) const CALM: Self = Self {
+    pub(crate) const RELIABLE: Self = Self {
         loss: 0,
         repeat: 0,
         delay: (MS, MS),
         sync: (MS, MS),
         split: false,
     };
-    pub(crate) const ROUGH: Self = Self {
+    pub(crate) const LOSSY: Self = Self {
         loss: 50,
         repeat: 50,
         delay: (100, 40 * MS),
--- a/crates/sequoiawing_consensus/tests/harness/torment.rs
+++ b/crates/sequoiawing_consensus/tests/harness/random_faults.rs
@@ -1,11 +1,11 @@
 //! Random faults, followed by a check that a healed deployment works.
 
-use super::{Cluster, MS, Micros, Network, Plant, SECOND};
+use super::{Cluster, Fault, MS, Micros, Network, SECOND};
 use sequoiawing_consensus::{Event, MemberChange};
 use sequoiawing_types::Name;
 
 /// How many faults a run brings about.
-const FAULTS: u64 = 60;
+const FAULTS_PER_RUN: u64 = 60;
 
 fn host(cluster: &mut Cluster) -> Name {
     let hosts: Vec<_> = cluster.nodes.keys().cloned().collect();
@@ -14,7 +14,7 @@
 }
 
 /// Whether losing one more disk leaves a majority of what was acknowledged.
-fn may_wipe(cluster: &Cluster) -> bool {
+fn can_wipe(cluster: &Cluster) -> bool {
     let Some(members) = cluster.members() else {
         return false;
     };
@@ -29,12 +29,12 @@
     voters.len() >= 3 && voters.into_iter().all(is_present) && is_settled
 }
 
-fn bring_about(cluster: &mut Cluster, wipes: bool) {
+fn inject_fault(cluster: &mut Cluster, wipes: bool) {
     let host = host(cluster);
     match cluster.below(12) {
         0 | 1 if cluster.is_up(&host) => cluster.crash(&host),
         0..=3 if !cluster.is_up(&host) => cluster.start(&host),
-        2 if wipes && may_wipe(cluster) => cluster.wipe(&host),
+        2 if wipes && can_wipe(cluster) => cluster.wipe(&host),
         4 => {
             let span = cluster.below(3 * SECOND);
             cluster.freeze(&host, span);
@@ -48,7 +48,7 @@
         }
         7 | 8 => cluster.cuts.clear(),
         9 if cluster.is_up(&host) => {
-            cluster.tell(&host, Event::Retire);
+            cluster.handle_event(&host, Event::Shutdown);
             cluster.run(300 * MS);
             cluster.crash(&host);
             cluster.start(&host);
@@ -57,19 +57,19 @@
             let token = cluster.token();
             let extra = Name::from("e");
             let change = if cluster.below(2) == 0 {
-                MemberChange::Seat(extra)
+                MemberChange::AddVoter(extra)
             } else {
                 MemberChange::Remove(extra)
             };
             if let Some(leader) = cluster.leader() {
-                cluster.tell(&leader, Event::Change { token, change });
+                cluster.handle_event(&leader, Event::ChangeMembers { token, change });
             }
         }
         _ => {}
     }
 }
 
-fn work(cluster: &mut Cluster, span: Micros, command: &mut u64) {
+fn send_requests(cluster: &mut Cluster, span: Micros, command: &mut u64) {
     for _ in 0..4 {
         let at = match cluster.leader() {
             Some(leader) if cluster.below(4) > 0 => leader,
@@ -85,35 +85,35 @@
 }
 
 /// Runs one seed.
-pub(crate) fn torment(seed: u64, plant: Plant) {
-    let mut cluster = Cluster::new(seed, &["a", "b", "c"], Network::CALM);
-    cluster.plant = plant;
+pub(crate) fn run_random_faults(seed: u64, fault: Fault) {
+    let mut cluster = Cluster::new(seed, &["a", "b", "c"], Network::RELIABLE);
+    cluster.fault = fault;
     cluster.add(&Name::from("e"));
     cluster.run(4 * SECOND);
     assert!(cluster.leader().is_some(), "a first leader is elected");
     let mut command = 0;
-    cluster.network = Network::ROUGH;
-    for _ in 0..FAULTS {
-        bring_about(&mut cluster, true);
+    cluster.network = Network::LOSSY;
+    for _ in 0..FAULTS_PER_RUN {
+        inject_fault(&mut cluster, true);
         let span = cluster.below(1_200 * MS);
-        work(&mut cluster, span, &mut command);
+        send_requests(&mut cluster, span, &mut command);
     }
     cluster.heal();
     cluster.run(15 * SECOND);
-    settle(&mut cluster);
+    check_recovery(&mut cluster);
 }
 
 /// Cuts leaders off while the others restart, again and again.
-pub(crate) fn torment_leases(seed: u64, plant: Plant) {
-    let mut cluster = Cluster::new(seed, &["a", "b", "c"], Network::CALM);
-    cluster.plant = plant;
+pub(crate) fn run_lease_faults(seed: u64, fault: Fault) {
+    let mut cluster = Cluster::new(seed, &["a", "b", "c"], Network::RELIABLE);
+    cluster.fault = fault;
     cluster.run(4 * SECOND);
     for _ in 0..10 {
         let leader = next_leader(&mut cluster).expect("a healed deployment has a leader");
         let hosts: Vec<_> = cluster.nodes.keys().cloned().collect();
         let others: Vec<_> = hosts.into_iter().filter(|h| *h != leader).collect();
         if cluster.below(2) == 0 {
-            uphold_alone(&mut cluster, &leader, &others);
+            renew_lease_with_one_voter(&mut cluster, &leader, &others);
         }
         for other in &others {
             let pause = cluster.below(50 * MS);
@@ -131,12 +131,12 @@
         cluster.heal();
         cluster.run(3 * SECOND);
     }
-    settle(&mut cluster);
+    check_recovery(&mut cluster);
 }
 
 /// Has one voter, which restarts often, uphold the lease alone while the other
 /// wants to lead.
-fn uphold_alone(cluster: &mut Cluster, leader: &Name, others: &[Name]) {
+fn renew_lease_with_one_voter(cluster: &mut Cluster, leader: &Name, others: &[Name]) {
     cluster.cut(leader, &others[0]);
     cluster.cut(&others[0], leader);
     cluster.run(2 * SECOND);
@@ -150,19 +150,19 @@
 
 /// Lets each leader of five hosts reach only some of them, and kills it soon, so
 /// that entries of several terms compete for the same places.
-pub(crate) fn torment_terms(seed: u64, plant: Plant) {
-    let mut cluster = Cluster::new(seed, &["a", "b", "c", "d", "e"], Network::CALM);
-    cluster.plant = plant;
+pub(crate) fn run_term_faults(seed: u64, fault: Fault) {
+    let mut cluster = Cluster::new(seed, &["a", "b", "c", "d", "e"], Network::RELIABLE);
+    cluster.fault = fault;
     cluster.run(4 * SECOND);
     cluster.network = Network {
         loss: 250,
         split: true,
-        ..Network::ROUGH
+        ..Network::LOSSY
     };
     for command in 0..60 {
         let leader = next_leader(&mut cluster);
         if let Some(leader) = leader {
-            cut_some(&mut cluster, &leader);
+            cut_random_links(&mut cluster, &leader);
             cluster.propose(&leader, &format!("c{command}"));
             let pause = cluster.below(80 * MS);
             cluster.run(pause);
@@ -180,7 +180,7 @@
     }
     cluster.heal();
     cluster.run(15 * SECOND);
-    settle(&mut cluster);
+    check_recovery(&mut cluster);
 }
 
 /// Runs until a leader is elected, for a few seconds at most.
@@ -195,7 +195,7 @@
     None
 }
 
-fn cut_some(cluster: &mut Cluster, leader: &Name) {
+fn cut_random_links(cluster: &mut Cluster, leader: &Name) {
     let hosts: Vec<_> = cluster.nodes.keys().cloned().collect();
     for other in hosts.iter().filter(|h| *h != leader) {
         if cluster.below(4) < 3 {
@@ -205,7 +205,7 @@
 }
 
 /// Checks that a healed deployment works and that all hosts agree.
-fn settle(cluster: &mut Cluster) {
+fn check_recovery(cluster: &mut Cluster) {
     let leader = cluster.leader().expect("a healed deployment has a leader");
     let token = cluster.propose(&leader, "last");
     let read = cluster.read(&leader);
@@ -216,8 +216,8 @@
     );
     assert!(cluster.answers[&read].is_ok(), "a healed deployment reads");
     let members = cluster.members().expect("there is a leader");
-    for seat in &members.seats {
-        assert!(members.voter_of(seat).is_some(), "{seat} votes again");
+    for host in &members.voter_hosts {
+        assert!(members.voter_of(host).is_some(), "{host} votes again");
     }
     let expected = cluster.nodes[&leader].state;
     for member in &members.members {
--- a/crates/sequoiawing_consensus/tests/planted.rs
+++ b/crates/sequoiawing_consensus/tests/injected_faults.rs
@@ -3,8 +3,8 @@
 mod harness;
 
 use harness::{
-    Plant,
-    torment::{torment, torment_leases, torment_terms},
+    Fault,
+    random_faults::{run_lease_faults, run_random_faults, run_term_faults},
 };
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -12,12 +12,12 @@
 const SEEDS: u64 = 200;
 
 /// Runs with a planted fault until the checker reports it in one of these words.
-fn is_reported<T>(torment: T, plant: Plant, reports: &[&str]) -> bool
+fn is_reported<T>(run_random_faults: T, fault: Fault, reports: &[&str]) -> bool
 where
-    T: Fn(u64, Plant),
+    T: Fn(u64, Fault),
 {
     (0..SEEDS).any(|seed| {
-        let run = catch_unwind(AssertUnwindSafe(|| torment(seed, plant)));
+        let run = catch_unwind(AssertUnwindSafe(|| run_random_faults(seed, fault)));
         let Err(problem) = run else {
             return false;
         };
@@ -29,19 +29,19 @@
 }
 
 macro_rules! plants {
-    ($($name:ident: $torment:expr, $plant:expr, $reports:expr;)*) => {$(
+    ($($name:ident: $run_random_faults:expr, $fault:expr, $reports:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert!(is_reported($torment, $plant, &$reports), "the checker misses the fault");
+            assert!(is_reported($run_random_faults, $fault, &$reports), "the checker misses the fault");
         }
     )*};
 }
 
 plants! {
-    a_vote_that_was_not_synced: torment, Plant::VoteNotSynced, ["one leader in term"];
-    a_lease_that_was_not_waited_out: torment_leases, Plant::LeaseNotWaited, ["leases overlap"];
-    a_commit_of_an_older_term: torment_terms, Plant::OlderTermCommitted,
+    a_vote_that_was_not_synced: run_random_faults, Fault::VoteNotSynced, ["one leader in term"];
+    a_lease_that_was_not_waited_out: run_lease_faults, Fault::LeaseNotWaited, ["leases overlap"];
+    a_commit_of_an_older_term: run_term_faults, Fault::OlderTermCommitted,
         ["leader completeness", "committed entries are never lost"];
-    a_lost_disk_that_votes: torment, Plant::LostDiskVotes,
+    a_lost_disk_that_votes: run_random_faults, Fault::LostDiskVotes,
         ["leader completeness", "committed entries are never lost"];
 }
--- a/crates/sequoiawing_consensus/tests/random.rs
+++ b/crates/sequoiawing_consensus/tests/random.rs
@@ -3,17 +3,17 @@
 mod harness;
 
 use harness::{
-    Plant,
-    torment::{torment, torment_leases, torment_terms},
+    Fault,
+    random_faults::{run_lease_faults, run_random_faults, run_term_faults},
 };
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 macro_rules! seeds {
-    ($($name:ident: $torment:expr, $seeds:expr;)*) => {$(
+    ($($name:ident: $run_random_faults:expr, $seeds:expr;)*) => {$(
         #[test]
         fn $name() {
             for seed in $seeds {
-                let run = catch_unwind(AssertUnwindSafe(|| $torment(seed, Plant::Nothing)));
+                let run = catch_unwind(AssertUnwindSafe(|| $run_random_faults(seed, Fault::None)));
                 assert!(run.is_ok(), "seed {seed} failed");
             }
         }
@@ -21,10 +21,10 @@
 }
 
 seeds! {
-    all_faults_1: torment, 0..75;
-    all_faults_2: torment, 75..150;
-    all_faults_3: torment, 150..225;
-    all_faults_4: torment, 225..300;
-    cut_leaders_and_restarts: torment_leases, 0..40;
-    competing_terms: torment_terms, 0..40;
+    all_faults_1: run_random_faults, 0..75;
+    all_faults_2: run_random_faults, 75..150;
+    all_faults_3: run_random_faults, 150..225;
+    all_faults_4: run_random_faults, 225..300;
+    cut_leaders_and_restarts: run_lease_faults, 0..40;
+    competing_terms: run_term_faults, 0..40;
 }
--- a/crates/sequoiawing_consensus/tests/rules.rs
+++ b/crates/sequoiawing_consensus/tests/rules.rs
@@ -1,8 +1,8 @@
 //! Rules whose breach random faults rarely bring to light, on one replica alone.
 
 use sequoiawing_consensus::{
-    Action, Ballot, Entry, Event, Loaded, Member, Membership, Message, Payload, Position, Replica,
-    ReplicaId, ReplicaSettings, RoleName, Snapshot,
+    Action, Entry, Event, HardState, Loaded, Member, Membership, Message, Payload, Position,
+    Replica, ReplicaId, ReplicaSettings, RoleName, Snapshot,
 };
 use sequoiawing_types::{Name, Time};
 use std::{net::SocketAddr, sync::Arc};
@@ -28,14 +28,17 @@
             voter: true,
         };
         let members = (1..=3).map(member).collect();
-        let seats = Vec::new();
+        let voter_hosts = Vec::new();
         let loaded = Loaded {
-            ballot: Ballot {
+            hard_state: HardState {
                 term: 4,
                 vote: None,
             },
             snapshot: Some(Arc::new(Snapshot {
-                members: Arc::new(Membership { members, seats }),
+                members: Arc::new(Membership {
+                    members,
+                    voter_hosts,
+                }),
                 ..Snapshot::default()
             })),
             entries: vec![Entry {
@@ -50,7 +53,7 @@
         let replica = Replica::start(settings, loaded, Time::ZERO, &mut out);
         let now = Time::from_millis(10_000);
         let mut elected = Self { replica, now, out };
-        elected.tell(Event::Tick);
+        elected.handle_event(Event::Tick);
         let term = 5;
         let granted = true;
         elected.receive(Message::PreVoteReply { term, granted });
@@ -61,14 +64,14 @@
         elected
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.out.clear();
         self.replica.handle(self.now, event, &mut self.out);
     }
 
     fn receive(&mut self, message: Message) {
         let from = OTHER;
-        self.tell(Event::Receive { from, message });
+        self.handle_event(Event::Receive { from, message });
     }
 
     /// Makes all writes durable.
@@ -78,7 +81,7 @@
             _ => None,
         });
         if let Some(last) = writes.max() {
-            self.tell(Event::Persisted(last));
+            self.handle_event(Event::Persisted(last));
         }
     }
 
@@ -112,7 +115,7 @@
     let token = 1;
     let command = Arc::from("new");
     let proposal = sequoiawing_consensus::Proposal { token, command };
-    elected.tell(Event::Propose(vec![proposal]));
+    elected.handle_event(Event::Propose(vec![proposal]));
     let unsynced = elected.out.clone();
     elected.confirm(3);
     assert_eq!(
@@ -130,7 +133,7 @@
     let mut elected = Elected::new();
     elected.confirm(2);
     assert!(elected.replica.lease(elected.now).is_some());
-    elected.tell(Event::Retire);
+    elected.handle_event(Event::Shutdown);
     let is_told = |a: &Action| matches!(a, Action::Send { message: Message::TimeoutNow { .. }, to, .. } if *to == OTHER);
     assert!(elected.out.iter().any(is_told), "the successor is told");
     assert_eq!(elected.replica.role(), RoleName::Follower);
@@ -148,7 +151,7 @@
         transfer: false,
     });
     let seq = elected.out.iter().find_map(|action| match action {
-        Action::Persist { seq, write } if write.ballot.is_some() => Some(*seq),
+        Action::Persist { seq, write } if write.hard_state.is_some() => Some(*seq),
         _ => None,
     });
     let reply = elected.out.iter().find_map(|action| match action {
--- a/crates/sequoiawing_consensus/tests/scenarios.rs
+++ b/crates/sequoiawing_consensus/tests/scenarios.rs
@@ -25,7 +25,7 @@
 use sequoiawing_types::Name;
 use std::time::Duration;
 
-const PATIENCE: u64 = 3 * SECOND;
+const ANSWER_TIMEOUT: u64 = 3 * SECOND;
 
 fn name(test: &mut TestCase, arg: &str) -> Name {
     let name: String = test.take_arg(arg).expect("the command names it");
@@ -38,7 +38,7 @@
 }
 
 fn answer(cluster: &mut Cluster, token: Token) -> String {
-    cluster.run(PATIENCE);
+    cluster.run(ANSWER_TIMEOUT);
     match cluster.answers.get(&token) {
         Some(Ok(index)) => format!("ok, {index} applied"),
         Some(Err(refusal)) => format!("{refusal:?}"),
@@ -80,7 +80,7 @@
         return "no leader".to_owned();
     };
     let token = cluster.token();
-    cluster.tell(&leader, Event::Change { token, change });
+    cluster.handle_event(&leader, Event::ChangeMembers { token, change });
     answer(cluster, token)
 }
 
@@ -91,7 +91,7 @@
         cluster.crash(&host);
         cluster.start(&host);
     }
-    cluster.run(PATIENCE);
+    cluster.run(ANSWER_TIMEOUT);
     leader(cluster)
 }
 
@@ -101,12 +101,12 @@
         "hosts" => {
             let names: Vec<String> = test.take_args("names").expect("names of hosts");
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
-            *cluster = Cluster::new(1, &names, Network::CALM);
+            *cluster = Cluster::new(1, &names, Network::RELIABLE);
             let down: Option<String> = test.try_take_arg("down").expect("a host");
             if let Some(down) = down {
                 cluster.crash(&Name::from(down));
             }
-            cluster.run(PATIENCE);
+            cluster.run(ANSWER_TIMEOUT);
             leader(cluster)
         }
         "replace" => {
@@ -115,7 +115,7 @@
             restart(cluster)
         }
         "grow" => {
-            cluster.grow_to = test.take_arg("to").expect("a number");
+            cluster.target_voters = test.take_arg("to").expect("a number");
             restart(cluster)
         }
         "join" => {
@@ -165,7 +165,7 @@
         "members" => members(cluster),
         "log" => log(cluster),
         "seat" => {
-            let seat = MemberChange::Seat(name(test, "host"));
+            let seat = MemberChange::AddVoter(name(test, "host"));
             change(cluster, seat)
         }
         "remove" => {
@@ -178,7 +178,7 @@
                 "crash" => cluster.crash(&host),
                 "start" => cluster.start(&host),
                 "wipe" => cluster.wipe(&host),
-                "retire" => cluster.tell(&host, Event::Retire),
+                "retire" => cluster.handle_event(&host, Event::Shutdown),
                 "freeze" => {
                     let span: u64 = test.take_arg("ms").expect("a time");
                     cluster.freeze(&host, span * MS);
@@ -193,7 +193,7 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios", |file| {
-        let mut cluster = Cluster::new(1, &["a"], Network::CALM);
+        let mut cluster = Cluster::new(1, &["a"], Network::RELIABLE);
         file.run(|test| {
             let text = step(&mut cluster, test);
             if text.is_empty() { text } else { text + "\n" }
--- a/crates/sequoiawing_consensus/tests/storage.rs
+++ b/crates/sequoiawing_consensus/tests/storage.rs
@@ -1,7 +1,7 @@
 //! What a data folder holds after crashes and damage.
 
 use sequoiawing_consensus::{
-    Ballot, DiskStorage, Entry, Loaded, LogStorage, Membership, Payload, Position, ReplicaId,
+    DiskStorage, Entry, HardState, Loaded, LogStorage, Membership, Payload, Position, ReplicaId,
     Snapshot, StorageError, StorageLimits, Write,
 };
 use std::{
@@ -11,7 +11,9 @@
 };
 
 const ID: ReplicaId = ReplicaId(7);
-const LIMITS: StorageLimits = StorageLimits { segment: 4_096 };
+const LIMITS: StorageLimits = StorageLimits {
+    segment_bytes: 4_096,
+};
 
 /// A data folder that is removed at the end of its test.
 struct Folder(PathBuf);
@@ -103,14 +105,14 @@
 #[test]
 fn everything_synced_is_loaded_again() {
     let folder = Folder::new("loaded");
-    let ballot = Ballot {
+    let hard_state = HardState {
         term: 3,
         vote: Some(ReplicaId(9)),
     };
     let mut storage = folder.open().expect("a new folder opens");
     let vote = Write {
-        ballot: Some(ballot),
-        founder: Some(ReplicaId(2)),
+        hard_state: Some(hard_state),
+        promised_to: Some(ReplicaId(2)),
         commit: 1,
         ..Write::default()
     };
@@ -118,8 +120,8 @@
     storage.write(&writes).expect("they are written");
     drop(storage);
     let loaded = folder.load();
-    assert_eq!(loaded.ballot, ballot);
-    assert_eq!(loaded.founder, Some(ReplicaId(2)));
+    assert_eq!(loaded.hard_state, hard_state);
+    assert_eq!(loaded.promised_to, Some(ReplicaId(2)));
     assert_eq!(indexes(&loaded), [(1, 1), (2, 1)]);
     assert_eq!(loaded.commit, 1);
 }
@@ -313,5 +315,5 @@
     }
     let loaded = folder.load();
     assert_eq!(indexes(&loaded), []);
-    assert_eq!(loaded.ballot.term, 2, "the snapshot's term is known");
+    assert_eq!(loaded.hard_state.term, 2, "the snapshot's term is known");
 }
--- a/crates/sequoiawing_controller/src/core.rs
+++ b/crates/sequoiawing_controller/src/core.rs
@@ -180,7 +180,7 @@
             }
             Call::Change { change, answer } => {
                 if let Some(token) = self.register(Caller::Change(answer)) {
-                    self.tell(Event::Change { token, change });
+                    self.tell(Event::ChangeMembers { token, change });
                 }
             }
             Call::Deliver(messages) => {
@@ -192,7 +192,7 @@
                 self.is_retiring = true;
                 self.retiring = Some(answer);
                 self.propose_waiting();
-                self.tell(Event::Retire);
+                self.tell(Event::Shutdown);
             }
         }
     }
@@ -228,7 +228,7 @@
                 self.tell(Event::Persisted(seq));
             }
             Report::Encoded { index, data } if self.failure.is_none() => {
-                self.tell(Event::Snapshotted { index, data });
+                self.tell(Event::SnapshotTaken { index, data });
             }
             Report::Failed(error) => self.fail(&error),
             Report::Loaded(loaded) => self.restart(loaded),
@@ -286,7 +286,7 @@
         self.failure = None;
         self.carry_out(out);
         if self.is_retiring {
-            self.tell(Event::Retire);
+            self.tell(Event::Shutdown);
         }
     }
 
@@ -302,7 +302,7 @@
                 Action::Send { to, message, after } => {
                     self.held.push_back(Held { after, to, message });
                 }
-                Action::Contact { host, message } => self.contact(&host, message),
+                Action::SendToHost { host, message } => self.contact(&host, message),
                 Action::Apply { entry, token } => self.apply(&entry, token),
                 Action::Restore(snapshot) => self.applied.restore(&snapshot),
                 Action::TakeSnapshot => {
@@ -310,7 +310,7 @@
                     let tables = Box::new(self.applied.tables().clone());
                     self.jobs.try_send(Job::Encode { index, tables }).ok();
                 }
-                Action::Readable(token) => {
+                Action::ReadReady(token) => {
                     if let Some(Caller::Read(answer)) = self.callers.remove(&token) {
                         answer.send(Ok(self.applied.tables().clone()));
                     }
@@ -415,7 +415,7 @@
     }
 
     fn show_freshness(&self) {
-        let in_touch = self.replica.in_touch(now(self.clock));
+        let in_touch = self.replica.last_contact(now(self.clock));
         if let Some(at) = in_touch.filter(|_| self.failure.is_none()) {
             self.handle
                 .fresh_at
@@ -434,7 +434,7 @@
             None if replica.is_stalled(now(self.clock)) => "slow".to_owned(),
             None => "sound".to_owned(),
         };
-        let obstacles = replica.founding_obstacles().into_iter();
+        let obstacles = replica.bootstrap_obstacles().into_iter();
         ControlStatus {
             host: self.settings.host.clone(),
             role: role.to_owned(),
--- a/crates/sequoiawing_controller/src/daemon.rs
+++ b/crates/sequoiawing_controller/src/daemon.rs
@@ -90,7 +90,7 @@
         };
         let mut replica = ReplicaSettings::new(place.id, settings.host.clone(), link);
         replica.replace_after = settings.replace.map(Duration::from_millis);
-        replica.grow_to = settings.grow;
+        replica.target_voters = settings.grow;
         replica.voters = settings.voters.iter().map(|v| v.host.clone()).collect();
         let core = Core::new(&settings, replica, loaded, &handle, jobs, shutdown.clone());
         spawn(core.run(calls, reports, shutdown.clone())).detach();
--- a/crates/sequoiawing_ctl/src/controllers.rs
+++ b/crates/sequoiawing_ctl/src/controllers.rs
@@ -61,7 +61,7 @@
 pub(crate) async fn seat(operator: &Operator, host: &str) -> Result<Changed, CtlError> {
     let host = Name::from(host);
     operator
-        .change_members(MemberChange::Seat(host.clone()))
+        .change_members(MemberChange::AddVoter(host.clone()))
         .await?;
     let seated = true;
     Ok(Changed { host, seated })
--- a/tools/capacity/src/size.rs
+++ b/tools/capacity/src/size.rs
@@ -137,7 +137,7 @@
             registry: intervals::REGISTRY.as_secs_f64(),
             follow: intervals::FOLLOW.as_secs_f64(),
             renewal: CellSettings::default().renewal.as_secs_f64(),
-            heartbeat: Timing::default().heartbeat.as_secs_f64(),
+            heartbeat: Timing::default().heartbeat_interval.as_secs_f64(),
             customers: 200.0,
             keys: 2_000.0,
             withdrawn: 20_000.0,
