--- a/crates/sequoiawing_consensus/src/storage/replay.rs
+++ b/crates/sequoiawing_consensus/src/storage/replay.rs
@@ -130,8 +130,8 @@
         let last = base.index + entries.len() as u64;
         let mut hard_state = self.hard_state;
         if base.term > hard_state.term {
-            // A crash occurred after the snapshot became durable but before the
-            // term and vote of the same write did.
+            // After a crash, the snapshot may be durable while the record with its
+            // term is not.
             hard_state = HardState {
                 term: base.term,
                 vote: None,
--- a/crates/sequoiawing_consensus/tests/harness/checker.rs
+++ b/crates/sequoiawing_consensus/tests/harness/checker.rs
@@ -5,31 +5,32 @@
     hash::{Hash, Hasher},
 };
 
-/// Checks at each step what must always hold.
+/// Checks the safety properties of the log during a simulation.
 #[derive(Default)]
 pub(crate) struct Checker {
     /// The leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
-    /// Every entry that was ever written, by index and term.
+    /// All entries that were written, by index and term.
     written: HashMap<(u64, u64), Entry>,
-    /// The term before each entry that was ever written.
-    before: HashMap<(u64, u64), u64>,
-    /// What was applied at each index, and the state after it.
+    /// The term of the entry before each written entry, by index and term.
+    previous_terms: HashMap<(u64, u64), u64>,
+    /// The entry applied at each index, and the hash of the resulting state.
     applied: BTreeMap<u64, (Entry, u64)>,
-    /// How far the state was applied anywhere when a read was asked for.
+    /// The highest index applied on any host when each read was requested.
     reads: HashMap<Token, u64>,
-    /// The highest term and commit index of each running process.
+    /// The last observed term and commit index of each running process.
     progress: BTreeMap<Name, (u64, u64)>,
-    leases: Vec<Name>,
+    /// The hosts that hold a lease in the current step.
+    lease_holders: Vec<Name>,
 }
 
 impl Checker {
-    /// The highest index that was applied anywhere.
+    /// Returns the highest index applied on any host.
     pub(crate) fn highest_applied(&self) -> u64 {
         self.applied.last_key_value().map_or(0, |(index, _)| *index)
     }
 
-    /// Whether the command was applied anywhere, and how often.
+    /// Returns how many indexes the command was applied at.
     pub(crate) fn count(&self, command: &str) -> usize {
         let payload = |e: &Entry| matches!(&e.payload, Payload::Command(c) if **c == *command);
         self.applied.values().filter(|(e, _)| payload(e)).count()
@@ -44,7 +45,7 @@
                 "log matching: one entry for an index and term"
             );
             if let Some(before) = i.checked_sub(1).map(|i| write.entries[i].term) {
-                let known = *self.before.entry(key).or_insert(before);
+                let known = *self.previous_terms.entry(key).or_insert(before);
                 assert_eq!(known, before, "log matching: same entries before {key:?}");
             }
         }
@@ -56,7 +57,11 @@
         state: (u64, u64),
         entry: &Entry,
     ) -> (u64, u64) {
-        assert_eq!(state.0 + 1, entry.index, "{host} applies without gaps");
+        assert_eq!(
+            state.0 + 1,
+            entry.index,
+            "{host} must apply entries without gaps"
+        );
         let mut hasher = DefaultHasher::new();
         (state.1, format!("{:?}", entry.payload)).hash(&mut hasher);
         let after = hasher.finish();
@@ -66,7 +71,10 @@
             known, entry,
             "committed entries are never lost: {host} applied another"
         );
-        assert_eq!(*hash, after, "the applied state is the same everywhere");
+        assert_eq!(
+            *hash, after,
+            "the applied state must be the same on all hosts"
+        );
         (entry.index, after)
     }
 
@@ -75,12 +83,12 @@
         let (entry, hash) = &self.applied[&index];
         assert_eq!(
             entry.term, snapshot.position.term,
-            "a snapshot of committed entries"
+            "a snapshot must contain committed entries only"
         );
         assert_eq!(
             *snapshot.data,
             format!("{index} {hash}"),
-            "the snapshot's state"
+            "the snapshot must contain the state at its index"
         );
         (index, *hash)
     }
@@ -114,23 +122,28 @@
         let known = self.progress.insert(host.clone(), now).unwrap_or_default();
         assert!(
             known.0 <= now.0 && known.1 <= now.1,
-            "terms and commits only rise"
+            "terms and commit indexes must not decrease"
         );
         if replica.role() == RoleName::Leader {
             let known = *self.leaders.entry(now.0).or_insert(replica.id());
             assert_eq!(known, replica.id(), "one leader in term {}", now.0);
         }
         if has_lease {
-            self.leases.push(host.clone());
+            self.lease_holders.push(host.clone());
         }
     }
 
     pub(crate) fn finish_step(&mut self) {
-        assert!(self.leases.len() <= 1, "leases overlap: {:?}", self.leases);
-        self.leases.clear();
+        assert!(
+            self.lease_holders.len() <= 1,
+            "leases overlap: {:?}",
+            self.lease_holders
+        );
+        self.lease_holders.clear();
     }
 
-    /// The process ended; what it knew without syncing may be lost.
+    /// Forgets the progress of a process that ended, since its unsynced state may be
+    /// lost.
     pub(crate) fn forget(&mut self, host: &Name) {
         self.progress.remove(host);
     }
--- a/crates/sequoiawing_consensus/tests/harness/disk.rs
+++ b/crates/sequoiawing_consensus/tests/harness/disk.rs
@@ -1,7 +1,7 @@
 use sequoiawing_consensus::{Loaded, ReplicaId, Write};
 use std::collections::VecDeque;
 
-/// A disk that keeps only what was synced.
+/// A simulated disk that loses unsynced writes in a crash.
 pub(crate) struct Disk {
     pub(crate) id: ReplicaId,
     pub(crate) loaded: Loaded,
@@ -20,21 +20,21 @@
     /// Makes the writes up to `seq` durable.
     pub(crate) fn sync(&mut self, seq: u64) {
         while let Some((_, write)) = self.unsynced.pop_front_if(|(s, _)| *s <= seq) {
-            self.keep(write);
+            self.apply(write);
         }
     }
 
-    /// Loses what was not synced, but for the first `kept` writes.
+    /// Discards the unsynced writes except the first `kept` ones.
     pub(crate) fn crash(&mut self, kept: u64) {
         for _ in 0..kept {
             if let Some((_, write)) = self.unsynced.pop_front() {
-                self.keep(write);
+                self.apply(write);
             }
         }
         self.unsynced.clear();
     }
 
-    fn keep(&mut self, write: Write) {
+    fn apply(&mut self, write: Write) {
         let loaded = &mut self.loaded;
         if write.reset {
             loaded.entries.clear();
--- a/crates/sequoiawing_consensus/tests/harness/fault.rs
+++ b/crates/sequoiawing_consensus/tests/harness/fault.rs
@@ -2,28 +2,32 @@
 use sequoiawing_consensus::RoleName;
 use sequoiawing_types::Name;
 
-/// A fault in the storage or in the driver that the checker must catch.
+/// A fault injected into the storage or the driver, which the checker must detect.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum Fault {
     #[default]
     None,
-    /// Votes are answered without being synced.
+    /// Votes are granted without being synced.
     VoteNotSynced,
-    /// A restarted voter votes at once.
+    /// A restarted voter votes without waiting for granted leases to expire.
     LeaseNotWaited,
-    /// Entries of older terms are applied once a majority holds them.
+    /// Entries of earlier terms are applied once a majority holds them.
     OlderTermCommitted,
-    /// A lost disk comes back under its former identity.
+    /// A host that lost its disk rejoins with its previous identity.
     LostDiskVotes,
 }
 
 impl Cluster {
-    /// The planted fault of a leader that counts replicas of older entries.
-    pub(super) fn commit_older_terms(&mut self, host: &Name) {
+    /// Applies entries of earlier terms that a majority holds, if
+    /// [`Fault::OlderTermCommitted`] is injected.
+    pub(super) fn apply_older_terms(&mut self, host: &Name) {
         if self.fault != Fault::OlderTermCommitted {
             return;
         }
-        let replica = self.nodes[host].replica.as_ref().expect("it runs");
+        let replica = self.nodes[host]
+            .replica
+            .as_ref()
+            .expect("the replica is running");
         if replica.role() != RoleName::Leader {
             return;
         }
--- a/crates/sequoiawing_consensus/tests/harness/mod.rs
+++ b/crates/sequoiawing_consensus/tests/harness/mod.rs
@@ -1,8 +1,8 @@
-//! Replicas over a fake network and fake disks in virtual time.
+//! A simulation of replicas with a simulated network and disks in virtual time.
 //!
-//! Everything is driven by one seed, so that a run can be repeated.
+//! All randomness comes from one seed, so that runs are reproducible.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only part of the harness")]
 
 mod checker;
 mod disk;
@@ -30,7 +30,7 @@
     time::Duration,
 };
 
-/// Microseconds of true time.
+/// Simulated true time, in microseconds.
 pub(crate) type Micros = u64;
 
 pub(crate) const MS: Micros = 1_000;
@@ -58,15 +58,16 @@
 pub(crate) struct Node {
     pub(crate) replica: Option<Replica>,
     disk: Disk,
-    /// Counts the starts, so that what an earlier process began is dropped.
+    /// The number of starts; events of earlier processes are dropped.
     boot: u64,
     synced: u64,
-    held: Vec<DeferredSend>,
-    /// The clock's speed in parts per thousand, and its origin.
+    deferred: Vec<DeferredSend>,
+    /// The clock rate relative to true time, in parts per thousand.
     rate: u64,
+    /// The true time at which the clock is zero.
     origin: Micros,
     pub(crate) frozen_until: Micros,
-    /// What the applied commands lead to: their count and a running hash.
+    /// The applied state: the last applied index and a hash of all entries.
     pub(crate) state: (u64, u64),
 }
 
@@ -78,7 +79,7 @@
     pub(crate) cuts: BTreeSet<(Name, Name)>,
     pub(crate) checker: Checker,
     pub(crate) fault: Fault,
-    /// What became of each caller.
+    /// The outcome of each request.
     pub(crate) answers: BTreeMap<Token, Result<u64, Refusal>>,
     queue: BTreeMap<(Micros, u64), SimEvent>,
     queued: u64,
@@ -123,7 +124,7 @@
             disk: Disk::new(ReplicaId(self.next_id)),
             boot: 0,
             synced: 0,
-            held: Vec::new(),
+            deferred: Vec::new(),
             rate: 1_000,
             origin: 0,
             frozen_until: 0,
@@ -134,17 +135,17 @@
         self.start(host);
     }
 
-    pub(crate) fn below(&mut self, limit: u64) -> u64 {
+    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
         self.rng.next_u64() % limit.max(1)
     }
 
-    fn between(&mut self, range: (Micros, Micros)) -> Micros {
-        range.0 + self.below(range.1 - range.0 + 1)
+    fn random_between(&mut self, range: (Micros, Micros)) -> Micros {
+        range.0 + self.random_below(range.1 - range.0 + 1)
     }
 
-    fn push(&mut self, at: Micros, happening: SimEvent) {
+    fn push(&mut self, at: Micros, sim_event: SimEvent) {
         self.queued += 1;
-        self.queue.insert((at, self.queued), happening);
+        self.queue.insert((at, self.queued), sim_event);
     }
 
     fn node(&mut self, host: &Name) -> &mut Node {
@@ -155,7 +156,7 @@
         self.nodes[host].replica.is_some()
     }
 
-    /// The time on the host's clock.
+    /// Returns the time on the host's clock.
     fn clock(&self, host: &Name) -> Time {
         let node = &self.nodes[host];
         Time::from_micros((self.now - node.origin) * node.rate / 1_000)
@@ -163,13 +164,13 @@
 
     pub(crate) fn start(&mut self, host: &Name) {
         let drift = u64::from(Timing::default().drift);
-        let rate = 1_000 - drift + self.below(2 * drift + 1);
+        let rate = 1_000 - drift + self.random_below(2 * drift + 1);
         let origin = self.now - self.now.min(1_000 * MS);
         let voters = self.voters.clone();
         let entries = self.snapshot_entries;
         let replace_after = self.replace_after;
         let target_voters = self.target_voters;
-        let seed = self.below(u64::MAX);
+        let seed = self.random_below(u64::MAX);
         let skips_lease_wait = self.fault == Fault::LeaseNotWaited;
         let node = self.node(host);
         node.boot += 1;
@@ -198,28 +199,28 @@
         self.push(self.now, SimEvent::Tick(host.clone(), boot));
     }
 
-    /// Kills the process; some of what it had not synced may be on the disk.
+    /// Kills the process; a random number of its unsynced writes becomes durable.
     pub(crate) fn crash(&mut self, host: &Name) {
-        let kept = self.below(self.nodes[host].disk.unsynced.len() as u64 + 1);
+        let kept = self.random_below(self.nodes[host].disk.unsynced.len() as u64 + 1);
         let node = self.node(host);
         node.replica = None;
-        node.held.clear();
+        node.deferred.clear();
         node.frozen_until = 0;
         node.disk.crash(kept);
         self.checker.forget(host);
     }
 
-    /// Kills the process and loses its disk.
+    /// Kills the process and replaces its disk with an empty one.
     pub(crate) fn wipe(&mut self, host: &Name) {
         self.crash(host);
         let fresh = ReplicaId(self.next_id);
         self.next_id += 1;
-        let keeps = self.fault == Fault::LostDiskVotes;
+        let keeps_identity = self.fault == Fault::LostDiskVotes;
         let node = self.node(host);
         let former = node.disk.id;
         let members = node.disk.loaded.snapshot.clone();
-        node.disk = Disk::new(if keeps { former } else { fresh });
-        if keeps {
+        node.disk = Disk::new(if keeps_identity { former } else { fresh });
+        if keeps_identity {
             node.disk.loaded.snapshot = members.map(|s| {
                 let mut first = sequoiawing_consensus::Snapshot::clone(&s);
                 first.position = sequoiawing_consensus::Position::default();
@@ -229,27 +230,27 @@
         }
     }
 
-    /// Cuts the link in one direction.
+    /// Drops all messages in one direction.
     pub(crate) fn cut(&mut self, from: &Name, to: &Name) {
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Runs until the true time has advanced by `span`.
+    /// Runs the simulation until the true time has advanced by `span`.
     pub(crate) fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(((at, id), happening)) = self.queue.pop_first() {
+        while let Some(((at, id), sim_event)) = self.queue.pop_first() {
             if at > end {
-                self.queue.insert((at, id), happening);
+                self.queue.insert((at, id), sim_event);
                 break;
             }
             self.now = self.now.max(at);
-            self.dispatch(happening);
+            self.dispatch(sim_event);
         }
         self.now = end;
     }
 
-    fn dispatch(&mut self, happening: SimEvent) {
-        let host = match &happening {
+    fn dispatch(&mut self, sim_event: SimEvent) {
+        let host = match &sim_event {
             SimEvent::Tick(host, _) | SimEvent::Synced(host, ..) | SimEvent::Call(host, _) => {
                 host.clone()
             }
@@ -259,18 +260,18 @@
             return;
         };
         if node.frozen_until > self.now {
-            // A process that goes on meets what waits for it in any order.
-            let at = node.frozen_until + self.below(TICK);
-            self.push(at, happening);
+            // A process that resumes handles its pending events in random order.
+            let at = node.frozen_until + self.random_below(TICK);
+            self.push(at, sim_event);
             return;
         }
-        match happening {
+        match sim_event {
             SimEvent::Tick(_, boot) if boot == node.boot && node.replica.is_some() => {
                 self.push(self.now + TICK, SimEvent::Tick(host.clone(), boot));
                 self.handle_event(&host, Event::Tick);
             }
             SimEvent::Synced(_, boot, seq) if boot == node.boot && node.replica.is_some() => {
-                self.synced(&host, seq);
+                self.handle_synced(&host, seq);
             }
             SimEvent::Deliver {
                 from,
@@ -279,8 +280,8 @@
                 message,
                 ..
             } => {
-                let is_here = receiver.is_none_or(|id| id == node.disk.id);
-                if is_here && !self.cuts.contains(&(from, host.clone())) {
+                let is_receiver = receiver.is_none_or(|id| id == node.disk.id);
+                if is_receiver && !self.cuts.contains(&(from, host.clone())) {
                     let from = sender;
                     self.handle_event(&host, Event::Receive { from, message });
                 }
@@ -290,21 +291,22 @@
         }
     }
 
-    fn synced(&mut self, host: &Name, seq: u64) {
+    fn handle_synced(&mut self, host: &Name, seq: u64) {
         let node = self.node(host);
         node.disk.sync(seq);
         node.synced = node.synced.max(seq);
         let synced = node.synced;
-        let held = std::mem::take(&mut node.held);
-        let (ready, held): (Vec<_>, Vec<_>) = held.into_iter().partition(|h| h.after <= synced);
-        node.held = held;
-        for held in ready {
-            self.send(host, held.to, held.message);
+        let deferred = std::mem::take(&mut node.deferred);
+        let (ready, deferred): (Vec<_>, Vec<_>) =
+            deferred.into_iter().partition(|h| h.after <= synced);
+        node.deferred = deferred;
+        for deferred in ready {
+            self.send(host, deferred.to, deferred.message);
         }
         self.handle_event(host, Event::Persisted(seq));
     }
 
-    /// Gives the replica an event and carries out what it wants.
+    /// Passes an event to the replica and performs the resulting actions.
     pub(crate) fn handle_event(&mut self, host: &Name, event: Event) {
         let now = self.clock(host);
         let node = self.node(host);
@@ -316,11 +318,14 @@
         replica.handle(now, event, &mut out);
         let is_elected = !was_leader && replica.role() == RoleName::Leader;
         if is_elected {
-            let replica = self.nodes[host].replica.as_ref().expect("it runs");
+            let replica = self.nodes[host]
+                .replica
+                .as_ref()
+                .expect("the replica is running");
             self.checker.check_election(replica);
         }
         self.perform(host, out);
-        self.commit_older_terms(host);
+        self.apply_older_terms(host);
         self.check();
     }
 
@@ -333,7 +338,7 @@
                         write.hard_state = None;
                     }
                     let boot = self.nodes[host].boot;
-                    let at = self.now + self.between(self.network.sync);
+                    let at = self.now + self.random_between(self.network.sync);
                     let node = self.node(host);
                     node.disk.unsynced.push_back((seq, write));
                     self.push(at, SimEvent::Synced(host.clone(), boot, seq));
@@ -343,7 +348,7 @@
                         self.send(host, to, message);
                     } else {
                         self.node(host)
-                            .held
+                            .deferred
                             .push(DeferredSend { after, to, message });
                     }
                 }
@@ -390,20 +395,20 @@
 
     fn transmit(&mut self, from: &Name, to: &Name, receiver: Option<ReplicaId>, message: &Message) {
         let sender = self.nodes[from].disk.id;
-        let copies = 1 + u64::from(self.below(1_000) < self.network.repeat);
+        let copies = 1 + u64::from(self.random_below(1_000) < self.network.duplication);
         for _ in 0..copies {
-            if self.below(1_000) < self.network.loss {
+            if self.random_below(1_000) < self.network.loss {
                 continue;
             }
-            let at = self.now + self.between(self.network.delay);
-            let happening = SimEvent::Deliver {
+            let at = self.now + self.random_between(self.network.delay);
+            let sim_event = SimEvent::Deliver {
                 to: to.clone(),
                 from: from.clone(),
                 sender,
                 receiver,
                 message: message.clone(),
             };
-            self.push(at, happening);
+            self.push(at, sim_event);
         }
     }
 
@@ -440,7 +445,7 @@
         self.next_token
     }
 
-    /// The host whose replica leads in the highest term.
+    /// Returns the host of the leader in the highest term.
     pub(crate) fn leader(&self) -> Option<Name> {
         let running = self.nodes.iter();
         let leaders = running.filter_map(|(host, node)| {
@@ -451,10 +456,13 @@
     }
 
     pub(crate) fn replica(&self, host: &Name) -> &Replica {
-        self.nodes[host].replica.as_ref().expect("the replica runs")
+        self.nodes[host]
+            .replica
+            .as_ref()
+            .expect("the replica is running")
     }
 
-    /// The members as the leader sees them.
+    /// Returns the members according to the leader.
     pub(crate) fn members(&self) -> Option<Membership> {
         let leader = self.leader()?;
         Some(self.replica(&leader).membership().clone())
@@ -469,7 +477,7 @@
         self.node(host).frozen_until = until;
     }
 
-    /// Undoes all faults.
+    /// Removes all faults and starts the processes that are down.
     pub(crate) fn heal(&mut self) {
         self.cuts.clear();
         self.network = Network::RELIABLE;
--- a/crates/sequoiawing_consensus/tests/harness/network.rs
+++ b/crates/sequoiawing_consensus/tests/harness/network.rs
@@ -1,35 +1,38 @@
 use super::{MS, Micros};
 use sequoiawing_consensus::Message;
 
-/// How the network treats messages, in parts per thousand and microseconds.
+/// The behavior of the simulated network and disks.
+///
+/// Probabilities are in parts per thousand, and ranges of time in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Network {
     pub(crate) loss: u64,
-    pub(crate) repeat: u64,
+    pub(crate) duplication: u64,
     pub(crate) delay: (Micros, Micros),
     pub(crate) sync: (Micros, Micros),
-    /// Whether each entry travels in a message of its own.
+    /// Whether each entry is sent in a separate message.
     pub(crate) split: bool,
 }
 
 impl Network {
     pub(crate) const RELIABLE: Self = Self {
         loss: 0,
-        repeat: 0,
+        duplication: 0,
         delay: (MS, MS),
         sync: (MS, MS),
         split: false,
     };
     pub(crate) const LOSSY: Self = Self {
         loss: 50,
-        repeat: 50,
+        duplication: 50,
         delay: (100, 40 * MS),
         sync: (100, 15 * MS),
         split: false,
     };
 }
 
-/// Sends each entry in a message of its own, as a small batch limit would.
+/// Splits a message into one message per entry if `is_split` is set, as a small
+/// batch limit would.
 pub(super) fn split(message: Message, is_split: bool) -> Vec<Message> {
     let Message::Append {
         term,
--- a/crates/sequoiawing_consensus/tests/injected_faults.rs
+++ b/crates/sequoiawing_consensus/tests/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Planted faults, each of which the checker must report.
+//! Injected faults, each of which the checker must detect.
 
 mod harness;
 
@@ -8,16 +8,17 @@
 };
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// How many seeds may pass before the fault is seen.
+/// The maximum number of seeds to try until the fault is detected.
 const SEEDS: u64 = 200;
 
-/// Runs with a planted fault until the checker reports it in one of these words.
-fn is_reported<T>(run_random_faults: T, fault: Fault, reports: &[&str]) -> bool
+/// Runs seeds with an injected fault, and returns `true` if the checker fails with
+/// one of the expected messages.
+fn is_reported<T>(run_seed: T, fault: Fault, reports: &[&str]) -> bool
 where
     T: Fn(u64, Fault),
 {
     (0..SEEDS).any(|seed| {
-        let run = catch_unwind(AssertUnwindSafe(|| run_random_faults(seed, fault)));
+        let run = catch_unwind(AssertUnwindSafe(|| run_seed(seed, fault)));
         let Err(problem) = run else {
             return false;
         };
@@ -28,16 +29,16 @@
     })
 }
 
-macro_rules! plants {
-    ($($name:ident: $run_random_faults:expr, $fault:expr, $reports:expr;)*) => {$(
+macro_rules! injected_faults {
+    ($($name:ident: $run:expr, $fault:expr, $reports:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert!(is_reported($run_random_faults, $fault, &$reports), "the checker misses the fault");
+            assert!(is_reported($run, $fault, &$reports), "the checker must detect the fault");
         }
     )*};
 }
 
-plants! {
+injected_faults! {
     a_vote_that_was_not_synced: run_random_faults, Fault::VoteNotSynced, ["one leader in term"];
     a_lease_that_was_not_waited_out: run_lease_faults, Fault::LeaseNotWaited, ["leases overlap"];
     a_commit_of_an_older_term: run_term_faults, Fault::OlderTermCommitted,
--- a/crates/sequoiawing_consensus/tests/random.rs
+++ b/crates/sequoiawing_consensus/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random faults over fixed seeds, with the properties checked at each step.
+//! Random faults with fixed seeds; the safety properties are checked at each step.
 
 mod harness;
 
@@ -9,11 +9,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 macro_rules! seeds {
-    ($($name:ident: $run_random_faults:expr, $seeds:expr;)*) => {$(
+    ($($name:ident: $run:expr, $seeds:expr;)*) => {$(
         #[test]
         fn $name() {
             for seed in $seeds {
-                let run = catch_unwind(AssertUnwindSafe(|| $run_random_faults(seed, Fault::None)));
+                let run = catch_unwind(AssertUnwindSafe(|| $run(seed, Fault::None)));
                 assert!(run.is_ok(), "seed {seed} failed");
             }
         }
--- a/crates/sequoiawing_consensus/tests/rules.rs
+++ b/crates/sequoiawing_consensus/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Rules whose breach random faults rarely bring to light, on one replica alone.
+//! Safety rules, checked on a single replica, because random faults rarely reveal
+//! their violation.
 
 use sequoiawing_consensus::{
     Action, Entry, Event, HardState, Loaded, Member, Membership, Message, Payload, Position,
@@ -10,8 +11,8 @@
 const SELF: ReplicaId = ReplicaId(1);
 const OTHER: ReplicaId = ReplicaId(2);
 
-/// A replica of three that was elected in term 5 with an entry of term 2 in its
-/// log, which no reply has confirmed.
+/// One of three replicas, elected in term 5, with an entry of term 2 in its log
+/// that no follower has acknowledged yet.
 struct Elected {
     replica: Replica,
     now: Time,
@@ -74,7 +75,7 @@
         self.handle_event(Event::Receive { from, message });
     }
 
-    /// Makes all writes durable.
+    /// Reports all pending writes as durable.
     fn persist(&mut self) {
         let writes = self.out.iter().filter_map(|action| match action {
             Action::Persist { seq, .. } => Some(*seq),
@@ -85,7 +86,7 @@
         }
     }
 
-    fn confirm(&mut self, matched: u64) {
+    fn acknowledge(&mut self, matched: u64) {
         self.receive(Message::AppendReply {
             term: 5,
             round: 1,
@@ -98,30 +99,30 @@
 #[test]
 fn an_entry_of_an_older_term_is_committed_only_through_the_current_one() {
     let mut elected = Elected::new();
-    elected.confirm(1);
+    elected.acknowledge(1);
     assert_eq!(
         elected.replica.commit(),
         0,
-        "a majority holds it, but may be outvoted"
+        "a later leader may still overwrite an entry that a majority holds"
     );
-    elected.confirm(2);
+    elected.acknowledge(2);
     assert_eq!(elected.replica.commit(), 2);
 }
 
 #[test]
 fn a_leader_counts_its_own_copy_only_when_it_is_synced() {
     let mut elected = Elected::new();
-    elected.confirm(2);
+    elected.acknowledge(2);
     let token = 1;
     let command = Arc::from("new");
     let proposal = sequoiawing_consensus::Proposal { token, command };
     elected.handle_event(Event::Propose(vec![proposal]));
     let unsynced = elected.out.clone();
-    elected.confirm(3);
+    elected.acknowledge(3);
     assert_eq!(
         elected.replica.commit(),
         2,
-        "the follower's copy alone is no majority"
+        "the follower's copy alone must not count as a majority"
     );
     elected.out = unsynced;
     elected.persist();
@@ -131,11 +132,14 @@
 #[test]
 fn a_leader_steps_down_before_its_successor_is_told() {
     let mut elected = Elected::new();
-    elected.confirm(2);
+    elected.acknowledge(2);
     assert!(elected.replica.lease(elected.now).is_some());
     elected.handle_event(Event::Shutdown);
-    let is_told = |a: &Action| matches!(a, Action::Send { message: Message::TimeoutNow { .. }, to, .. } if *to == OTHER);
-    assert!(elected.out.iter().any(is_told), "the successor is told");
+    let is_timeout_now = |a: &Action| matches!(a, Action::Send { message: Message::TimeoutNow { .. }, to, .. } if *to == OTHER);
+    assert!(
+        elected.out.iter().any(is_timeout_now),
+        "the successor must receive TimeoutNow"
+    );
     assert_eq!(elected.replica.role(), RoleName::Follower);
     assert!(elected.replica.lease(elected.now).is_none());
 }
@@ -163,5 +167,8 @@
         _ => None,
     });
     assert!(seq.is_some());
-    assert_eq!(reply, seq, "the reply names the write that holds the vote");
+    assert_eq!(
+        reply, seq,
+        "the reply must wait for the write that contains the vote"
+    );
 }
--- a/crates/sequoiawing_consensus/tests/scenarios.rs
+++ b/crates/sequoiawing_consensus/tests/scenarios.rs
@@ -1,21 +1,22 @@
-//! Scripted failures; each file under `scenarios/` tells one.
+//! Scripted failures; each file in `scenarios/` describes one.
 //!
 //! | command | meaning |
 //! |---|---|
-//! | `hosts names=(a, b) [down=b]` | hosts with empty disks, and 3 s for them to form a deployment |
-//! | `replace ms=2000` | learners take the seats of voters that are away for so long; restarts all |
-//! | `join host=d` | a further host with an empty disk |
+//! | `hosts names=(a, b) [down=b]` | creates hosts with empty disks, waits 3 s for the bootstrap |
+//! | `replace ms=2000` | replaces voters that are unreachable for this time by learners; restarts all |
+//! | `grow to=5` | promotes learners until there are this many voters; restarts all |
+//! | `join host=d` | adds a host with an empty disk |
 //! | `propose command=x [at=a]` | proposes at the leader or a host, waits 3 s |
 //! | `read [at=a]` | reads at the leader or a host, waits 3 s |
-//! | `cut from=a to=b` | cuts one direction |
-//! | `isolate host=a`, `heal` | cuts a host off; undoes all cuts |
+//! | `cut from=a to=b` | drops all messages in one direction |
+//! | `isolate host=a`, `heal` | cuts a host off; removes all cuts |
 //! | `crash host=a`, `start host=a` | kills and starts a process |
-//! | `wipe host=a` | kills a process and loses its disk |
-//! | `freeze host=a ms=500` | stops a process for a time |
-//! | `retire host=a` | announces a planned stop |
-//! | `seat host=a`, `remove host=a` | an operator changes the members |
-//! | `run ms=500` | lets time pass |
-//! | `leader`, `members`, `log` | shows who leads, the members, what is applied |
+//! | `wipe host=a` | kills a process and replaces its disk with an empty one |
+//! | `freeze host=a ms=500` | suspends a process |
+//! | `retire host=a` | announces a planned shutdown |
+//! | `seat host=a`, `remove host=a` | adds or removes a voter host |
+//! | `run ms=500` | advances the time |
+//! | `leader`, `members`, `log` | shows the leader, the members, the role and applied index of each host |
 
 mod harness;
 
@@ -28,12 +29,14 @@
 const ANSWER_TIMEOUT: u64 = 3 * SECOND;
 
 fn name(test: &mut TestCase, arg: &str) -> Name {
-    let name: String = test.take_arg(arg).expect("the command names it");
+    let name: String = test
+        .take_arg(arg)
+        .expect("the command must have this argument");
     Name::from(name)
 }
 
 fn host(cluster: &Cluster, test: &mut TestCase) -> Option<Name> {
-    let named: Option<String> = test.try_take_arg("at").expect("a host");
+    let named: Option<String> = test.try_take_arg("at").expect("`at` must be a host");
     named.map(Name::from).or_else(|| cluster.leader())
 }
 
@@ -84,7 +87,7 @@
     answer(cluster, token)
 }
 
-/// Starts all replicas anew, with the settings as they are now.
+/// Restarts all replicas with the current settings.
 fn restart(cluster: &mut Cluster) -> String {
     let hosts: Vec<_> = cluster.nodes.keys().cloned().collect();
     for host in hosts {
@@ -99,10 +102,12 @@
     let directive = test.directive.clone();
     match directive.as_str() {
         "hosts" => {
-            let names: Vec<String> = test.take_args("names").expect("names of hosts");
+            let names: Vec<String> = test
+                .take_args("names")
+                .expect("`names` must be a list of hosts");
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
             *cluster = Cluster::new(1, &names, Network::RELIABLE);
-            let down: Option<String> = test.try_take_arg("down").expect("a host");
+            let down: Option<String> = test.try_take_arg("down").expect("`down` must be a host");
             if let Some(down) = down {
                 cluster.crash(&Name::from(down));
             }
@@ -110,12 +115,12 @@
             leader(cluster)
         }
         "replace" => {
-            let span: u64 = test.take_arg("ms").expect("a time");
+            let span: u64 = test.take_arg("ms").expect("`ms` must be a number");
             cluster.replace_after = Some(Duration::from_millis(span));
             restart(cluster)
         }
         "grow" => {
-            cluster.target_voters = test.take_arg("to").expect("a number");
+            cluster.target_voters = test.take_arg("to").expect("`to` must be a number");
             restart(cluster)
         }
         "join" => {
@@ -157,7 +162,7 @@
             String::new()
         }
         "run" => {
-            let span: u64 = test.take_arg("ms").expect("a time");
+            let span: u64 = test.take_arg("ms").expect("`ms` must be a number");
             cluster.run(span * MS);
             leader(cluster)
         }
@@ -180,10 +185,10 @@
                 "wipe" => cluster.wipe(&host),
                 "retire" => cluster.handle_event(&host, Event::Shutdown),
                 "freeze" => {
-                    let span: u64 = test.take_arg("ms").expect("a time");
+                    let span: u64 = test.take_arg("ms").expect("`ms` must be a number");
                     cluster.freeze(&host, span * MS);
                 }
-                other => panic!("{other} is no command"),
+                other => panic!("unknown command: {other}"),
             }
             String::new()
         }
--- a/crates/sequoiawing_consensus/tests/storage.rs
+++ b/crates/sequoiawing_consensus/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What a data folder holds after crashes and damage.
+//! Recovery of a data folder after crashes and damage.
 
 use sequoiawing_consensus::{
     DiskStorage, Entry, HardState, Loaded, LogStorage, Membership, Payload, Position, ReplicaId,
@@ -15,7 +15,7 @@
     segment_bytes: 4_096,
 };
 
-/// A data folder that is removed at the end of its test.
+/// A data folder that is removed when it is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -31,13 +31,13 @@
     }
 
     fn load(&self) -> Loaded {
-        let mut storage = self.open().expect("the folder is sound");
-        storage.load().expect("the folder is sound")
+        let mut storage = self.open().expect("the folder must not be damaged");
+        storage.load().expect("the folder must not be damaged")
     }
 
     fn segments(&self) -> Vec<PathBuf> {
-        let entries = fs::read_dir(&self.0).expect("the folder exists");
-        let paths = entries.map(|e| e.expect("an entry").path());
+        let entries = fs::read_dir(&self.0).expect("the folder must exist");
+        let paths = entries.map(|e| e.expect("the directory entry must be readable").path());
         let mut segments: Vec<_> = paths
             .filter(|p| p.extension().is_some_and(|e| e == "segment"))
             .collect();
@@ -87,16 +87,17 @@
     loaded.entries.iter().map(|e| (e.index, e.term)).collect()
 }
 
-/// Fills a folder with three batches and returns the length after each.
+/// Writes three batches to a folder, and returns the length of the segment before
+/// the first and after each of them.
 fn fill(folder: &Folder) -> Vec<u64> {
-    let mut storage = folder.open().expect("a new folder opens");
-    storage.write(&[founded()]).expect("it is written");
-    let file = folder.segments().pop().expect("there is a segment");
-    let length = |path: &Path| fs::metadata(path).expect("it exists").len();
+    let mut storage = folder.open().expect("a new folder must open");
+    storage.write(&[founded()]).expect("the write must succeed");
+    let file = folder.segments().pop().expect("there must be a segment");
+    let length = |path: &Path| fs::metadata(path).expect("the segment must exist").len();
     let mut lengths = vec![length(&file)];
     for index in 1..=3 {
         let write = append(vec![entry(index, 1)]);
-        storage.write(&[write]).expect("it is written");
+        storage.write(&[write]).expect("the write must succeed");
         lengths.push(length(&file));
     }
     lengths
@@ -109,7 +110,7 @@
         term: 3,
         vote: Some(ReplicaId(9)),
     };
-    let mut storage = folder.open().expect("a new folder opens");
+    let mut storage = folder.open().expect("a new folder must open");
     let vote = Write {
         hard_state: Some(hard_state),
         promised_to: Some(ReplicaId(2)),
@@ -117,7 +118,7 @@
         ..Write::default()
     };
     let writes = [founded(), append(vec![entry(1, 1), entry(2, 1)]), vote];
-    storage.write(&writes).expect("they are written");
+    storage.write(&writes).expect("the writes must succeed");
     drop(storage);
     let loaded = folder.load();
     assert_eq!(loaded.hard_state, hard_state);
@@ -129,38 +130,39 @@
 #[test]
 fn the_identity_stays() {
     let folder = Folder::new("identity");
-    drop(folder.open().expect("a new folder opens"));
-    let again = DiskStorage::open(&folder.0, ReplicaId(8), LIMITS).expect("it opens again");
+    drop(folder.open().expect("a new folder must open"));
+    let again =
+        DiskStorage::open(&folder.0, ReplicaId(8), LIMITS).expect("the folder must open again");
     assert_eq!(again.id(), ID);
 }
 
 #[test]
 fn a_folder_serves_one_process() {
     let folder = Folder::new("lock");
-    let first = folder.open().expect("a new folder opens");
+    let first = folder.open().expect("a new folder must open");
     assert!(matches!(folder.open(), Err(StorageError::InUse { .. })));
     drop(first);
-    folder.open().expect("it is free again");
+    folder.open().expect("the folder must be unlocked");
 }
 
 #[test]
 fn a_tail_torn_at_any_byte_loses_only_its_batch() {
     let folder = Folder::new("torn");
     let lengths = fill(&folder);
-    let file = folder.segments().pop().expect("there is a segment");
-    let whole = fs::read(&file).expect("it is read");
+    let file = folder.segments().pop().expect("there must be a segment");
+    let whole = fs::read(&file).expect("the file must be readable");
     let marker = 12;
-    for cut in usize::try_from(lengths[0]).expect("small")..whole.len() {
-        fs::write(&file, &whole[..cut]).expect("it is cut");
+    for cut in usize::try_from(lengths[0]).expect("the length must fit into usize")..whole.len() {
+        fs::write(&file, &whole[..cut]).expect("the file must be writable");
         let loaded = folder.load();
-        // A batch counts once it is whole, even if its marker is torn.
+        // A batch is recovered if it is intact, even if its marker is torn.
         let is_whole = |end: &&u64| **end <= cut as u64 + marker;
         let kept = lengths[1..].iter().filter(is_whole).count();
         assert_eq!(loaded.entries.len(), kept, "cut at byte {cut}");
-        let mut storage = folder.open().expect("it opens after the cut");
+        let mut storage = folder.open().expect("the truncated folder must open");
         let next = kept as u64 + 1;
         let write = append(vec![entry(next, 2)]);
-        storage.write(&[write]).expect("it goes on");
+        storage.write(&[write]).expect("the write must succeed");
         drop(storage);
         assert_eq!(folder.load().entries.len(), kept + 1, "cut at byte {cut}");
     }
@@ -170,25 +172,28 @@
 fn a_flipped_bit_in_the_middle_is_reported_with_its_place() {
     let folder = Folder::new("flipped");
     let lengths = fill(&folder);
-    let file = folder.segments().pop().expect("there is a segment");
-    let whole = fs::read(&file).expect("it is read");
-    let synced = usize::try_from(lengths[2]).expect("small");
+    let file = folder.segments().pop().expect("there must be a segment");
+    let whole = fs::read(&file).expect("the file must be readable");
+    let synced = usize::try_from(lengths[2]).expect("the length must fit into usize");
     for at in 0..synced {
         let mut bytes = whole.clone();
         bytes[at] ^= 1 << (at % 8);
-        fs::write(&file, &bytes).expect("it is damaged");
+        fs::write(&file, &bytes).expect("the file must be writable");
         let Err(StorageError::Damaged {
             file: named,
             offset,
             ..
         }) = folder.open()
         else {
-            panic!("the bit at byte {at} went unnoticed");
+            panic!("the flipped bit at byte {at} was not detected");
         };
         assert_eq!(named, file);
-        assert!(offset <= at as u64, "byte {at} is reported at {offset}");
-        let kept = fs::read(&file).expect("it is read");
-        assert_eq!(kept, bytes, "a damaged file is left as it is");
+        assert!(
+            offset <= at as u64,
+            "damage at byte {at} was reported at byte {offset}"
+        );
+        let kept = fs::read(&file).expect("the file must be readable");
+        assert_eq!(kept, bytes, "a damaged file must not be changed");
     }
 }
 
@@ -196,30 +201,30 @@
 fn a_flipped_bit_in_the_last_synced_batch_is_reported() {
     let folder = Folder::new("flipped-last");
     let lengths = fill(&folder);
-    let file = folder.segments().pop().expect("there is a segment");
-    let mut bytes = fs::read(&file).expect("it is read");
-    bytes[usize::try_from(lengths[2]).expect("small") + 20] ^= 1;
-    fs::write(&file, &bytes).expect("it is damaged");
+    let file = folder.segments().pop().expect("there must be a segment");
+    let mut bytes = fs::read(&file).expect("the file must be readable");
+    bytes[usize::try_from(lengths[2]).expect("the length must fit into usize") + 20] ^= 1;
+    fs::write(&file, &bytes).expect("the file must be writable");
     assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
 }
 
 #[test]
 fn damage_in_a_closed_segment_is_no_torn_tail() {
     let folder = Folder::new("closed");
-    let mut storage = folder.open().expect("a new folder opens");
-    storage.write(&[founded()]).expect("it is written");
+    let mut storage = folder.open().expect("a new folder must open");
+    storage.write(&[founded()]).expect("the write must succeed");
     for index in 1..=200 {
         let write = append(vec![entry(index, 1)]);
-        storage.write(&[write]).expect("it is written");
+        storage.write(&[write]).expect("the write must succeed");
     }
     drop(storage);
     let segments = folder.segments();
-    assert!(segments.len() > 2, "segments are closed");
+    assert!(segments.len() > 2, "several segments must have been closed");
     let closed = &segments[segments.len() - 2];
-    let bytes = fs::read(closed).expect("it is read");
-    fs::write(closed, &bytes[..bytes.len() - 30]).expect("it is cut");
+    let bytes = fs::read(closed).expect("the file must be readable");
+    fs::write(closed, &bytes[..bytes.len() - 30]).expect("the file must be writable");
     assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
-    fs::remove_file(closed).expect("it is removed");
+    fs::remove_file(closed).expect("the file must be removable");
     assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
 }
 
@@ -227,7 +232,7 @@
 fn a_log_without_its_identity_is_reported() {
     let folder = Folder::new("no-identity");
     fill(&folder);
-    fs::remove_file(folder.0.join("identity")).expect("it is removed");
+    fs::remove_file(folder.0.join("identity")).expect("the file must be removable");
     assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
 }
 
@@ -236,7 +241,7 @@
     let folder = Folder::new("no-log");
     fill(&folder);
     for segment in folder.segments() {
-        fs::remove_file(segment).expect("it is removed");
+        fs::remove_file(segment).expect("the file must be removable");
     }
     assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
 }
@@ -244,21 +249,21 @@
 #[test]
 fn a_snapshot_bounds_the_log() {
     let folder = Folder::new("bounded");
-    let mut storage = folder.open().expect("a new folder opens");
-    storage.write(&[founded()]).expect("it is written");
+    let mut storage = folder.open().expect("a new folder must open");
+    storage.write(&[founded()]).expect("the write must succeed");
     for index in 1..=2_000 {
         let write = append(vec![entry(index, 1)]);
-        storage.write(&[write]).expect("it is written");
+        storage.write(&[write]).expect("the write must succeed");
         if index % 100 == 0 {
             let write = snapshot(index - 10, 1, "state");
-            storage.write(&[write]).expect("it is written");
+            storage.write(&[write]).expect("the write must succeed");
         }
     }
     drop(storage);
-    assert!(folder.segments().len() < 8, "old segments are deleted");
+    assert!(folder.segments().len() < 8, "old segments must be deleted");
     let loaded = folder.load();
     assert_eq!(loaded.entries.first().map(|e| e.index), Some(1_991));
-    let snapshot = loaded.snapshot.expect("there is one");
+    let snapshot = loaded.snapshot.expect("there must be a snapshot");
     assert_eq!(&*snapshot.data, "state");
 }
 
@@ -267,25 +272,29 @@
     let folder = Folder::new("snapshot");
     fill(&folder);
     let file = folder.0.join("snapshot");
-    let mut bytes = fs::read(&file).expect("it is read");
+    let mut bytes = fs::read(&file).expect("the file must be readable");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
-    fs::write(&file, bytes).expect("it is damaged");
+    fs::write(&file, bytes).expect("the file must be writable");
     assert!(matches!(folder.open(), Err(StorageError::Damaged { .. })));
 }
 
 #[test]
 fn a_leaders_snapshot_replaces_foreign_entries() {
     let folder = Folder::new("reset");
-    let mut storage = folder.open().expect("a new folder opens");
+    let mut storage = folder.open().expect("a new folder must open");
     let foreign = append((1..=30).map(|i| entry(i, 1)).collect());
-    storage.write(&[founded(), foreign]).expect("it is written");
+    storage
+        .write(&[founded(), foreign])
+        .expect("the write must succeed");
     let install = Write {
         reset: true,
         ..snapshot(20, 2, "state")
     };
     let next = append(vec![entry(21, 2)]);
-    storage.write(&[install, next]).expect("it is written");
+    storage
+        .write(&[install, next])
+        .expect("the write must succeed");
     drop(storage);
     assert_eq!(indexes(&folder.load()), [(21, 2)]);
 }
@@ -293,27 +302,32 @@
 #[test]
 fn a_crash_between_snapshot_and_reset_keeps_no_foreign_entry() {
     let folder = Folder::new("half-reset");
-    let mut storage = folder.open().expect("a new folder opens");
+    let mut storage = folder.open().expect("a new folder must open");
     let foreign = append((1..=30).map(|i| entry(i, 1)).collect());
-    storage.write(&[founded(), foreign]).expect("it is written");
+    storage
+        .write(&[founded(), foreign])
+        .expect("the write must succeed");
     let segments = folder.segments();
     let before: Vec<_> = segments
         .iter()
-        .map(|s| fs::read(s).expect("read"))
+        .map(|s| fs::read(s).expect("the segment must be readable"))
         .collect();
     let install = Write {
         reset: true,
         ..snapshot(20, 2, "state")
     };
-    storage.write(&[install]).expect("it is written");
+    storage.write(&[install]).expect("the write must succeed");
     drop(storage);
     for segment in folder.segments() {
-        fs::remove_file(segment).expect("it is removed");
+        fs::remove_file(segment).expect("the file must be removable");
     }
     for (segment, bytes) in segments.iter().zip(before) {
-        fs::write(segment, bytes).expect("it is put back");
+        fs::write(segment, bytes).expect("the segment must be writable");
     }
     let loaded = folder.load();
     assert_eq!(indexes(&loaded), []);
-    assert_eq!(loaded.hard_state.term, 2, "the snapshot's term is known");
+    assert_eq!(
+        loaded.hard_state.term, 2,
+        "the term must be that of the snapshot"
+    );
 }
