--- a/crates/sequoiawing_consensus/tests/harness/mod.rs
+++ b/crates/sequoiawing_consensus/tests/harness/mod.rs
@@ -1,19 +1,19 @@
-//! Replicas over a fake network and fake disks in virtual time.
+//! A simulation of replicas with a simulated network and disks in virtual time.
 //!
-//! Everything is driven by one seed, so that a run can be repeated.
+//! All randomness comes from one seed, so that runs are reproducible.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only part of the harness")]
 
 mod checker;
 mod disk;
+mod fault;
 mod network;
-mod plant;
-pub(crate) mod torment;
+pub(crate) mod random_faults;
 
 pub(crate) use checker::Checker;
 use disk::Disk;
+pub(crate) use fault::Fault;
 pub(crate) use network::Network;
-pub(crate) use plant::Plant;
 use rand_chacha::{
     ChaCha8Rng,
     rand_core::{Rng, SeedableRng},
@@ -30,13 +30,13 @@
     time::Duration,
 };
 
-/// Microseconds of true time.
+/// Simulated true time, in microseconds.
 pub(crate) type Micros = u64;
 
 pub(crate) const MS: Micros = 1_000;
 const TICK: Micros = 20 * MS;
 
-enum Happening {
+enum SimEvent {
     Tick(Name, u64),
     Deliver {
         to: Name,
@@ -49,7 +49,7 @@
     Call(Name, Event),
 }
 
-struct Held {
+struct DeferredSend {
     after: u64,
     to: ReplicaId,
     message: Message,
@@ -58,15 +58,16 @@
 pub(crate) struct Node {
     pub(crate) replica: Option<Replica>,
     disk: Disk,
-    /// Counts the starts, so that what an earlier process began is dropped.
+    /// The number of starts; events of earlier processes are dropped.
     boot: u64,
     synced: u64,
-    held: Vec<Held>,
-    /// The clock's speed in parts per thousand, and its origin.
+    deferred: Vec<DeferredSend>,
+    /// The clock rate relative to true time, in parts per thousand.
     rate: u64,
+    /// The true time at which the clock is zero.
     origin: Micros,
     pub(crate) frozen_until: Micros,
-    /// What the applied commands lead to: their count and a running hash.
+    /// The applied state: the last applied index and a hash of all entries.
     pub(crate) state: (u64, u64),
 }
 
@@ -77,17 +78,17 @@
     pub(crate) network: Network,
     pub(crate) cuts: BTreeSet<(Name, Name)>,
     pub(crate) checker: Checker,
-    pub(crate) plant: Plant,
-    /// What became of each caller.
+    pub(crate) fault: Fault,
+    /// The outcome of each request.
     pub(crate) answers: BTreeMap<Token, Result<u64, Refusal>>,
-    queue: BTreeMap<(Micros, u64), Happening>,
+    queue: BTreeMap<(Micros, u64), SimEvent>,
     queued: u64,
     voters: Vec<Name>,
     next_id: u64,
     next_token: Token,
     pub(crate) snapshot_entries: u64,
     pub(crate) replace_after: Option<Duration>,
-    pub(crate) grow_to: usize,
+    pub(crate) target_voters: usize,
 }
 
 impl Cluster {
@@ -99,7 +100,7 @@
             network,
             cuts: BTreeSet::new(),
             checker: Checker::default(),
-            plant: Plant::Nothing,
+            fault: Fault::None,
             answers: BTreeMap::new(),
             queue: BTreeMap::new(),
             queued: 0,
@@ -108,7 +109,7 @@
             next_token: 1,
             snapshot_entries: 20,
             replace_after: None,
-            grow_to: 0,
+            target_voters: 0,
         };
         for host in cluster.voters.clone() {
             cluster.add(&host);
@@ -123,7 +124,7 @@
             disk: Disk::new(ReplicaId(self.next_id)),
             boot: 0,
             synced: 0,
-            held: Vec::new(),
+            deferred: Vec::new(),
             rate: 1_000,
             origin: 0,
             frozen_until: 0,
@@ -134,17 +135,17 @@
         self.start(host);
     }
 
-    pub(crate) fn below(&mut self, limit: u64) -> u64 {
+    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
         self.rng.next_u64() % limit.max(1)
     }
 
-    fn between(&mut self, range: (Micros, Micros)) -> Micros {
-        range.0 + self.below(range.1 - range.0 + 1)
+    fn random_between(&mut self, range: (Micros, Micros)) -> Micros {
+        range.0 + self.random_below(range.1 - range.0 + 1)
     }
 
-    fn push(&mut self, at: Micros, happening: Happening) {
+    fn push(&mut self, at: Micros, sim_event: SimEvent) {
         self.queued += 1;
-        self.queue.insert((at, self.queued), happening);
+        self.queue.insert((at, self.queued), sim_event);
     }
 
     fn node(&mut self, host: &Name) -> &mut Node {
@@ -155,7 +156,7 @@
         self.nodes[host].replica.is_some()
     }
 
-    /// The time on the host's clock.
+    /// Returns the time on the host's clock.
     fn clock(&self, host: &Name) -> Time {
         let node = &self.nodes[host];
         Time::from_micros((self.now - node.origin) * node.rate / 1_000)
@@ -163,14 +164,14 @@
 
     pub(crate) fn start(&mut self, host: &Name) {
         let drift = u64::from(Timing::default().drift);
-        let rate = 1_000 - drift + self.below(2 * drift + 1);
+        let rate = 1_000 - drift + self.random_below(2 * drift + 1);
         let origin = self.now - self.now.min(1_000 * MS);
         let voters = self.voters.clone();
         let entries = self.snapshot_entries;
         let replace_after = self.replace_after;
-        let grow_to = self.grow_to;
-        let seed = self.below(u64::MAX);
-        let is_plant = self.plant == Plant::LeaseNotWaited;
+        let target_voters = self.target_voters;
+        let seed = self.random_below(u64::MAX);
+        let skips_lease_wait = self.fault == Fault::LeaseNotWaited;
         let node = self.node(host);
         node.boot += 1;
         node.rate = rate;
@@ -183,43 +184,43 @@
         settings.seed = seed;
         settings.snapshot_entries = entries;
         settings.replace_after = replace_after;
-        settings.grow_to = grow_to;
+        settings.target_voters = target_voters;
         let loaded = node.disk.loaded.clone();
         let boot = node.boot;
         let mut out = Vec::new();
         let mut now = self.clock(host);
-        if is_plant {
+        if skips_lease_wait {
             let early = now - Time::ZERO;
-            now = Time::ZERO + early.saturating_sub(settings.timing.election);
+            now = Time::ZERO + early.saturating_sub(settings.timing.election_timeout);
         }
         let replica = Replica::start(settings, loaded, now, &mut out);
         self.node(host).replica = Some(replica);
-        self.carry_out(host, out);
-        self.push(self.now, Happening::Tick(host.clone(), boot));
+        self.perform(host, out);
+        self.push(self.now, SimEvent::Tick(host.clone(), boot));
     }
 
-    /// Kills the process; some of what it had not synced may be on the disk.
+    /// Kills the process; a random number of its unsynced writes becomes durable.
     pub(crate) fn crash(&mut self, host: &Name) {
-        let kept = self.below(self.nodes[host].disk.unsynced.len() as u64 + 1);
+        let kept = self.random_below(self.nodes[host].disk.unsynced.len() as u64 + 1);
         let node = self.node(host);
         node.replica = None;
-        node.held.clear();
+        node.deferred.clear();
         node.frozen_until = 0;
         node.disk.crash(kept);
         self.checker.forget(host);
     }
 
-    /// Kills the process and loses its disk.
+    /// Kills the process and replaces its disk with an empty one.
     pub(crate) fn wipe(&mut self, host: &Name) {
         self.crash(host);
         let fresh = ReplicaId(self.next_id);
         self.next_id += 1;
-        let keeps = self.plant == Plant::LostDiskVotes;
+        let keeps_identity = self.fault == Fault::LostDiskVotes;
         let node = self.node(host);
         let former = node.disk.id;
         let members = node.disk.loaded.snapshot.clone();
-        node.disk = Disk::new(if keeps { former } else { fresh });
-        if keeps {
+        node.disk = Disk::new(if keeps_identity { former } else { fresh });
+        if keeps_identity {
             node.disk.loaded.snapshot = members.map(|s| {
                 let mut first = sequoiawing_consensus::Snapshot::clone(&s);
                 first.position = sequoiawing_consensus::Position::default();
@@ -229,83 +230,84 @@
         }
     }
 
-    /// Cuts the link in one direction.
+    /// Drops all messages in one direction.
     pub(crate) fn cut(&mut self, from: &Name, to: &Name) {
         self.cuts.insert((from.clone(), to.clone()));
     }
 
-    /// Runs until the true time has advanced by `span`.
+    /// Runs the simulation until the true time has advanced by `span`.
     pub(crate) fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(((at, id), happening)) = self.queue.pop_first() {
+        while let Some(((at, id), sim_event)) = self.queue.pop_first() {
             if at > end {
-                self.queue.insert((at, id), happening);
+                self.queue.insert((at, id), sim_event);
                 break;
             }
             self.now = self.now.max(at);
-            self.happen(happening);
+            self.dispatch(sim_event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        let host = match &happening {
-            Happening::Tick(host, _) | Happening::Synced(host, ..) | Happening::Call(host, _) => {
+    fn dispatch(&mut self, sim_event: SimEvent) {
+        let host = match &sim_event {
+            SimEvent::Tick(host, _) | SimEvent::Synced(host, ..) | SimEvent::Call(host, _) => {
                 host.clone()
             }
-            Happening::Deliver { to, .. } => to.clone(),
+            SimEvent::Deliver { to, .. } => to.clone(),
         };
         let Some(node) = self.nodes.get(&host) else {
             return;
         };
         if node.frozen_until > self.now {
-            // A process that goes on meets what waits for it in any order.
-            let at = node.frozen_until + self.below(TICK);
-            self.push(at, happening);
+            // A process that resumes handles its pending events in random order.
+            let at = node.frozen_until + self.random_below(TICK);
+            self.push(at, sim_event);
             return;
         }
-        match happening {
-            Happening::Tick(_, boot) if boot == node.boot && node.replica.is_some() => {
-                self.push(self.now + TICK, Happening::Tick(host.clone(), boot));
-                self.tell(&host, Event::Tick);
+        match sim_event {
+            SimEvent::Tick(_, boot) if boot == node.boot && node.replica.is_some() => {
+                self.push(self.now + TICK, SimEvent::Tick(host.clone(), boot));
+                self.handle_event(&host, Event::Tick);
             }
-            Happening::Synced(_, boot, seq) if boot == node.boot && node.replica.is_some() => {
-                self.synced(&host, seq);
+            SimEvent::Synced(_, boot, seq) if boot == node.boot && node.replica.is_some() => {
+                self.handle_synced(&host, seq);
             }
-            Happening::Deliver {
+            SimEvent::Deliver {
                 from,
                 sender,
                 receiver,
                 message,
                 ..
             } => {
-                let is_here = receiver.is_none_or(|id| id == node.disk.id);
-                if is_here && !self.cuts.contains(&(from, host.clone())) {
+                let is_receiver = receiver.is_none_or(|id| id == node.disk.id);
+                if is_receiver && !self.cuts.contains(&(from, host.clone())) {
                     let from = sender;
-                    self.tell(&host, Event::Receive { from, message });
+                    self.handle_event(&host, Event::Receive { from, message });
                 }
             }
-            Happening::Call(_, event) => self.tell(&host, event),
-            Happening::Tick(..) | Happening::Synced(..) => {}
+            SimEvent::Call(_, event) => self.handle_event(&host, event),
+            SimEvent::Tick(..) | SimEvent::Synced(..) => {}
         }
     }
 
-    fn synced(&mut self, host: &Name, seq: u64) {
+    fn handle_synced(&mut self, host: &Name, seq: u64) {
         let node = self.node(host);
         node.disk.sync(seq);
         node.synced = node.synced.max(seq);
         let synced = node.synced;
-        let held = std::mem::take(&mut node.held);
-        let (ready, held): (Vec<_>, Vec<_>) = held.into_iter().partition(|h| h.after <= synced);
-        node.held = held;
-        for held in ready {
-            self.send(host, held.to, held.message);
+        let deferred = std::mem::take(&mut node.deferred);
+        let (ready, deferred): (Vec<_>, Vec<_>) =
+            deferred.into_iter().partition(|h| h.after <= synced);
+        node.deferred = deferred;
+        for deferred in ready {
+            self.send(host, deferred.to, deferred.message);
         }
-        self.tell(host, Event::Persisted(seq));
+        self.handle_event(host, Event::Persisted(seq));
     }
 
-    /// Gives the replica an event and carries out what it wants.
-    pub(crate) fn tell(&mut self, host: &Name, event: Event) {
+    /// Passes an event to the replica and performs the resulting actions.
+    pub(crate) fn handle_event(&mut self, host: &Name, event: Event) {
         let now = self.clock(host);
         let node = self.node(host);
         let Some(replica) = &mut node.replica else {
@@ -316,55 +318,62 @@
         replica.handle(now, event, &mut out);
         let is_elected = !was_leader && replica.role() == RoleName::Leader;
         if is_elected {
-            let replica = self.nodes[host].replica.as_ref().expect("it runs");
-            self.checker.elected(replica);
+            let replica = self.nodes[host]
+                .replica
+                .as_ref()
+                .expect("the replica is running");
+            self.checker.check_election(replica);
         }
-        self.carry_out(host, out);
-        self.commit_older_terms(host);
+        self.perform(host, out);
+        self.apply_older_terms(host);
         self.check();
     }
 
-    fn carry_out(&mut self, host: &Name, out: Vec<Action>) {
+    fn perform(&mut self, host: &Name, out: Vec<Action>) {
         for action in out {
             match action {
                 Action::Persist { seq, mut write } => {
-                    self.checker.wrote(&write);
-                    if self.plant == Plant::VoteNotSynced {
-                        write.ballot = None;
+                    self.checker.check_write(&write);
+                    if self.fault == Fault::VoteNotSynced {
+                        write.hard_state = None;
                     }
                     let boot = self.nodes[host].boot;
-                    let at = self.now + self.between(self.network.sync);
+                    let at = self.now + self.random_between(self.network.sync);
                     let node = self.node(host);
                     node.disk.unsynced.push_back((seq, write));
-                    self.push(at, Happening::Synced(host.clone(), boot, seq));
+                    self.push(at, SimEvent::Synced(host.clone(), boot, seq));
                 }
                 Action::Send { to, message, after } => {
                     if after <= self.nodes[host].synced {
                         self.send(host, to, message);
                     } else {
-                        self.node(host).held.push(Held { after, to, message });
+                        self.node(host)
+                            .deferred
+                            .push(DeferredSend { after, to, message });
                     }
                 }
-                Action::Contact { host: to, message } => self.post(host, &to, None, &message),
+                Action::SendToHost { host: to, message } => {
+                    self.transmit(host, &to, None, &message);
+                }
                 Action::Apply { entry, token } => {
                     let node = self.nodes.get_mut(host).expect("the host exists");
-                    node.state = self.checker.applied(host, node.state, &entry);
+                    node.state = self.checker.check_apply(host, node.state, &entry);
                     if let Some(token) = token {
                         self.answers.insert(token, Ok(entry.index));
                     }
                 }
                 Action::Restore(snapshot) => {
-                    let state = self.checker.restored(&snapshot);
+                    let state = self.checker.check_restore(&snapshot);
                     self.node(host).state = state;
                 }
                 Action::TakeSnapshot => {
                     let (index, hash) = self.nodes[host].state;
                     let data = Arc::from(format!("{index} {hash}"));
-                    self.tell(host, Event::Snapshotted { index, data });
+                    self.handle_event(host, Event::SnapshotTaken { index, data });
                 }
-                Action::Readable(token) => {
+                Action::ReadReady(token) => {
                     let applied = self.nodes[host].state.0;
-                    self.checker.read(token, applied);
+                    self.checker.check_read(token, applied);
                     self.answers.insert(token, Ok(applied));
                 }
                 Action::Refuse { token, refusal } => {
@@ -380,26 +389,26 @@
             return;
         };
         for message in network::split(message, self.network.split) {
-            self.post(from, &host, Some(to), &message);
+            self.transmit(from, &host, Some(to), &message);
         }
     }
 
-    fn post(&mut self, from: &Name, to: &Name, receiver: Option<ReplicaId>, message: &Message) {
+    fn transmit(&mut self, from: &Name, to: &Name, receiver: Option<ReplicaId>, message: &Message) {
         let sender = self.nodes[from].disk.id;
-        let copies = 1 + u64::from(self.below(1_000) < self.network.repeat);
+        let copies = 1 + u64::from(self.random_below(1_000) < self.network.duplication);
         for _ in 0..copies {
-            if self.below(1_000) < self.network.loss {
+            if self.random_below(1_000) < self.network.loss {
                 continue;
             }
-            let at = self.now + self.between(self.network.delay);
-            let happening = Happening::Deliver {
+            let at = self.now + self.random_between(self.network.delay);
+            let sim_event = SimEvent::Deliver {
                 to: to.clone(),
                 from: from.clone(),
                 sender,
                 receiver,
                 message: message.clone(),
             };
-            self.push(at, happening);
+            self.push(at, sim_event);
         }
     }
 
@@ -419,15 +428,15 @@
         let token = self.token();
         let command = Arc::from(command);
         let event = Event::Propose(vec![Proposal { token, command }]);
-        self.push(self.now, Happening::Call(host.clone(), event));
+        self.push(self.now, SimEvent::Call(host.clone(), event));
         token
     }
 
     /// Reads at a host and returns the caller's token.
     pub(crate) fn read(&mut self, host: &Name) -> Token {
         let token = self.token();
-        self.checker.asked(token);
-        self.push(self.now, Happening::Call(host.clone(), Event::Read(token)));
+        self.checker.record_read(token);
+        self.push(self.now, SimEvent::Call(host.clone(), Event::Read(token)));
         token
     }
 
@@ -436,7 +445,7 @@
         self.next_token
     }
 
-    /// The host whose replica leads in the highest term.
+    /// Returns the host of the leader in the highest term.
     pub(crate) fn leader(&self) -> Option<Name> {
         let running = self.nodes.iter();
         let leaders = running.filter_map(|(host, node)| {
@@ -447,10 +456,13 @@
     }
 
     pub(crate) fn replica(&self, host: &Name) -> &Replica {
-        self.nodes[host].replica.as_ref().expect("the replica runs")
+        self.nodes[host]
+            .replica
+            .as_ref()
+            .expect("the replica is running")
     }
 
-    /// The members as the leader sees them.
+    /// Returns the members according to the leader.
     pub(crate) fn members(&self) -> Option<Membership> {
         let leader = self.leader()?;
         Some(self.replica(&leader).membership().clone())
@@ -465,10 +477,10 @@
         self.node(host).frozen_until = until;
     }
 
-    /// Undoes all faults.
+    /// Removes all faults and starts the processes that are down.
     pub(crate) fn heal(&mut self) {
         self.cuts.clear();
-        self.network = Network::CALM;
+        self.network = Network::RELIABLE;
         let hosts: Vec<_> = self.nodes.keys().cloned().collect();
         for host in hosts {
             self.node(&host).frozen_until = 0;
--- a/crates/sequoiawing_consensus/tests/scenarios.rs
+++ b/crates/sequoiawing_consensus/tests/scenarios.rs
@@ -1,21 +1,22 @@
-//! Scripted failures; each file under `scenarios/` tells one.
+//! Scripted failures; each file in `scenarios/` describes one.
 //!
 //! | command | meaning |
 //! |---|---|
-//! | `hosts names=(a, b) [down=b]` | hosts with empty disks, and 3 s for them to form a deployment |
-//! | `replace ms=2000` | learners take the seats of voters that are away for so long; restarts all |
-//! | `join host=d` | a further host with an empty disk |
+//! | `hosts names=(a, b) [down=b]` | creates hosts with empty disks, waits 3 s for the bootstrap |
+//! | `replace ms=2000` | replaces voters that are unreachable for this time by learners; restarts all |
+//! | `grow to=5` | promotes learners until there are this many voters; restarts all |
+//! | `join host=d` | adds a host with an empty disk |
 //! | `propose command=x [at=a]` | proposes at the leader or a host, waits 3 s |
 //! | `read [at=a]` | reads at the leader or a host, waits 3 s |
-//! | `cut from=a to=b` | cuts one direction |
-//! | `isolate host=a`, `heal` | cuts a host off; undoes all cuts |
+//! | `cut from=a to=b` | drops all messages in one direction |
+//! | `isolate host=a`, `heal` | cuts a host off; removes all cuts |
 //! | `crash host=a`, `start host=a` | kills and starts a process |
-//! | `wipe host=a` | kills a process and loses its disk |
-//! | `freeze host=a ms=500` | stops a process for a time |
-//! | `retire host=a` | announces a planned stop |
-//! | `seat host=a`, `remove host=a` | an operator changes the members |
-//! | `run ms=500` | lets time pass |
-//! | `leader`, `members`, `log` | shows who leads, the members, what is applied |
+//! | `wipe host=a` | kills a process and replaces its disk with an empty one |
+//! | `freeze host=a ms=500` | suspends a process |
+//! | `retire host=a` | announces a planned shutdown |
+//! | `seat host=a`, `remove host=a` | adds or removes a voter host |
+//! | `run ms=500` | advances the time |
+//! | `leader`, `members`, `log` | shows the leader, the members, the role and applied index of each host |
 
 mod harness;
 
@@ -25,20 +26,22 @@
 use sequoiawing_types::Name;
 use std::time::Duration;
 
-const PATIENCE: u64 = 3 * SECOND;
+const ANSWER_TIMEOUT: u64 = 3 * SECOND;
 
 fn name(test: &mut TestCase, arg: &str) -> Name {
-    let name: String = test.take_arg(arg).expect("the command names it");
+    let name: String = test
+        .take_arg(arg)
+        .expect("the command must have this argument");
     Name::from(name)
 }
 
 fn host(cluster: &Cluster, test: &mut TestCase) -> Option<Name> {
-    let named: Option<String> = test.try_take_arg("at").expect("a host");
+    let named: Option<String> = test.try_take_arg("at").expect("`at` must be a host");
     named.map(Name::from).or_else(|| cluster.leader())
 }
 
 fn answer(cluster: &mut Cluster, token: Token) -> String {
-    cluster.run(PATIENCE);
+    cluster.run(ANSWER_TIMEOUT);
     match cluster.answers.get(&token) {
         Some(Ok(index)) => format!("ok, {index} applied"),
         Some(Err(refusal)) => format!("{refusal:?}"),
@@ -80,18 +83,18 @@
         return "no leader".to_owned();
     };
     let token = cluster.token();
-    cluster.tell(&leader, Event::Change { token, change });
+    cluster.handle_event(&leader, Event::ChangeMembers { token, change });
     answer(cluster, token)
 }
 
-/// Starts all replicas anew, with the settings as they are now.
+/// Restarts all replicas with the current settings.
 fn restart(cluster: &mut Cluster) -> String {
     let hosts: Vec<_> = cluster.nodes.keys().cloned().collect();
     for host in hosts {
         cluster.crash(&host);
         cluster.start(&host);
     }
-    cluster.run(PATIENCE);
+    cluster.run(ANSWER_TIMEOUT);
     leader(cluster)
 }
 
@@ -99,23 +102,25 @@
     let directive = test.directive.clone();
     match directive.as_str() {
         "hosts" => {
-            let names: Vec<String> = test.take_args("names").expect("names of hosts");
+            let names: Vec<String> = test
+                .take_args("names")
+                .expect("`names` must be a list of hosts");
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
-            *cluster = Cluster::new(1, &names, Network::CALM);
-            let down: Option<String> = test.try_take_arg("down").expect("a host");
+            *cluster = Cluster::new(1, &names, Network::RELIABLE);
+            let down: Option<String> = test.try_take_arg("down").expect("`down` must be a host");
             if let Some(down) = down {
                 cluster.crash(&Name::from(down));
             }
-            cluster.run(PATIENCE);
+            cluster.run(ANSWER_TIMEOUT);
             leader(cluster)
         }
         "replace" => {
-            let span: u64 = test.take_arg("ms").expect("a time");
+            let span: u64 = test.take_arg("ms").expect("`ms` must be a number");
             cluster.replace_after = Some(Duration::from_millis(span));
             restart(cluster)
         }
         "grow" => {
-            cluster.grow_to = test.take_arg("to").expect("a number");
+            cluster.target_voters = test.take_arg("to").expect("`to` must be a number");
             restart(cluster)
         }
         "join" => {
@@ -157,7 +162,7 @@
             String::new()
         }
         "run" => {
-            let span: u64 = test.take_arg("ms").expect("a time");
+            let span: u64 = test.take_arg("ms").expect("`ms` must be a number");
             cluster.run(span * MS);
             leader(cluster)
         }
@@ -165,7 +170,7 @@
         "members" => members(cluster),
         "log" => log(cluster),
         "seat" => {
-            let seat = MemberChange::Seat(name(test, "host"));
+            let seat = MemberChange::AddVoter(name(test, "host"));
             change(cluster, seat)
         }
         "remove" => {
@@ -178,12 +183,12 @@
                 "crash" => cluster.crash(&host),
                 "start" => cluster.start(&host),
                 "wipe" => cluster.wipe(&host),
-                "retire" => cluster.tell(&host, Event::Retire),
+                "retire" => cluster.handle_event(&host, Event::Shutdown),
                 "freeze" => {
-                    let span: u64 = test.take_arg("ms").expect("a time");
+                    let span: u64 = test.take_arg("ms").expect("`ms` must be a number");
                     cluster.freeze(&host, span * MS);
                 }
-                other => panic!("{other} is no command"),
+                other => panic!("unknown command: {other}"),
             }
             String::new()
         }
@@ -193,7 +198,7 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios", |file| {
-        let mut cluster = Cluster::new(1, &["a"], Network::CALM);
+        let mut cluster = Cluster::new(1, &["a"], Network::RELIABLE);
         file.run(|test| {
             let text = step(&mut cluster, test);
             if text.is_empty() { text } else { text + "\n" }
