--- a/crates/sequoiawing_bench/src/deployment.rs
+++ b/crates/sequoiawing_bench/src/deployment.rs
@@ -37,14 +37,18 @@
 
 impl Deployment {
     /// Returns how long a load takes at full speed.
-    pub fn load_span(&self, memory: u64, checkpoint: sequoiawing_policy::Checkpoint) -> Duration {
-        use sequoiawing_policy::Checkpoint;
+    pub fn load_span(
+        &self,
+        memory: u64,
+        checkpoint: sequoiawing_policy::CheckpointLocation,
+    ) -> Duration {
+        use sequoiawing_policy::CheckpointLocation;
         #[expect(clippy::cast_precision_loss, reason = "sizes are small")]
         let size = memory as f64 / REFERENCE_MIB as f64;
         let part = match checkpoint {
-            Checkpoint::Memory => MEMORY_PART,
-            Checkpoint::Disk => DISK_PART,
-            Checkpoint::Remote => 1.0,
+            CheckpointLocation::Memory => MEMORY_PART,
+            CheckpointLocation::Disk => DISK_PART,
+            CheckpointLocation::Remote => 1.0,
         };
         self.load_time.mul_f64(size * part)
     }
--- a/crates/sequoiawing_bench/src/fakes/runner.rs
+++ b/crates/sequoiawing_bench/src/fakes/runner.rs
@@ -1,5 +1,5 @@
 use sequoiawing_fleet::{Order, OrderKind, OrderReply, UpstreamKind, UpstreamState};
-use sequoiawing_policy::Checkpoint;
+use sequoiawing_policy::CheckpointLocation;
 use sequoiawing_types::{Name, Time};
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -42,7 +42,10 @@
     /// Nothing that takes time.
     Nothing,
     /// The load of a model.
-    Load { model: Name, checkpoint: Checkpoint },
+    Load {
+        model: Name,
+        checkpoint: CheckpointLocation,
+    },
     /// The load of an adapter.
     Adapter { adapter: Name },
     /// The end of a load.
@@ -291,13 +294,13 @@
     }
 
     /// Returns where the model's checkpoint is.
-    pub(crate) fn checkpoint(&self, model: &Name) -> Checkpoint {
+    pub(crate) fn checkpoint(&self, model: &Name) -> CheckpointLocation {
         if self.cached.contains(model) {
-            Checkpoint::Memory
+            CheckpointLocation::Memory
         } else if self.spec.disk.contains(model) {
-            Checkpoint::Disk
+            CheckpointLocation::Disk
         } else {
-            Checkpoint::Remote
+            CheckpointLocation::Remote
         }
     }
 
--- a/crates/sequoiawing_bench/src/main.rs
+++ b/crates/sequoiawing_bench/src/main.rs
@@ -43,7 +43,7 @@
             .help(help)
     };
     let defaults = WorldSettings::default();
-    let patience = defaults.idle.patience.to_string();
+    let patience = defaults.idle.idle_factor.to_string();
     Command::new("sequoiawing-bench")
         .about("Measures the policies beside their baselines in virtual time")
         .arg(
@@ -88,7 +88,7 @@
     };
     let mut settings = WorldSettings::default();
     if let Some(patience) = matches.get_one("patience") {
-        settings.idle.patience = *patience;
+        settings.idle.idle_factor = *patience;
     }
     let deployments = [Deployment::inkveld(), Deployment::kommentarwerk()];
     let deployments = deployments.into_iter();
--- a/crates/sequoiawing_bench/src/policies.rs
+++ b/crates/sequoiawing_bench/src/policies.rs
@@ -1,6 +1,6 @@
 use sequoiawing_policy::{
-    AffinityChoice, ChooseUpstream, FairDeadline, FairTokens, FirstAsked, FirstCome, FirstFit,
-    FixedKeepAlive, IdleSettings, LearnedKeepAlive, LeastLoad, LeastRecent, OnePerQueue,
+    AffinityChoice, ChooseUpstream, FairDeadline, FairTokens, FirstCome, FirstFit, FixedKeepAlive,
+    KeepAliveSettings, LearnedKeepAlive, LeastLoad, LeastRecentlyUsed, OldestFirst, OnePerRouter,
     PlacePolicies, ShareService,
 };
 use std::time::Duration;
@@ -76,26 +76,26 @@
         }
     }
 
-    pub(crate) fn place(self, idle: &IdleSettings) -> PlacePolicies {
+    pub(crate) fn place(self, idle: &KeepAliveSettings) -> PlacePolicies {
         let learned = Box::new(LearnedKeepAlive::new(idle.clone()));
         let chosen = PlacePolicies {
-            idle: learned,
+            keep_alive: learned,
             ..PlacePolicies::default()
         };
         match self {
             Self::FirstCome => PlacePolicies {
-                replicas: Box::new(OnePerQueue),
-                sequence: Box::new(FirstAsked),
-                place: Box::new(FirstFit),
-                victims: Box::new(LeastRecent),
-                idle: Box::new(FixedKeepAlive::new(FIXED_IDLE)),
+                replicas: Box::new(OnePerRouter),
+                sequence: Box::new(OldestFirst),
+                placement: Box::new(FirstFit),
+                victims: Box::new(LeastRecentlyUsed),
+                keep_alive: Box::new(FixedKeepAlive::new(FIXED_IDLE)),
             },
             Self::FixedIdle => PlacePolicies {
-                idle: Box::new(FixedKeepAlive::new(FIXED_IDLE)),
+                keep_alive: Box::new(FixedKeepAlive::new(FIXED_IDLE)),
                 ..chosen
             },
             Self::NoFairness => PlacePolicies {
-                sequence: Box::new(FirstAsked),
+                sequence: Box::new(OldestFirst),
                 ..chosen
             },
             Self::Chosen | Self::SplitRates => {
--- a/crates/sequoiawing_bench/src/world/checks.rs
+++ b/crates/sequoiawing_bench/src/world/checks.rs
@@ -44,7 +44,7 @@
     /// Reports whether a runner has been frozen for so long that it may be
     /// presumed dead. Its replicas are surplus once it goes on.
     fn is_silent(&self, i: usize) -> bool {
-        let limit = self.settings.place.presumed_dead;
+        let limit = self.settings.place.dead_after;
         let heard = self.plights[i].announced;
         self.runners[i].is_frozen && self.now >= heard + limit
     }
--- a/crates/sequoiawing_bench/src/world/loads.rs
+++ b/crates/sequoiawing_bench/src/world/loads.rs
@@ -6,7 +6,7 @@
     world::{Fault, event::Event, state::CALL_LIMIT},
 };
 use sequoiawing_fleet::{Order, OrderKind, OrderReply};
-use sequoiawing_policy::Checkpoint;
+use sequoiawing_policy::CheckpointLocation;
 use sequoiawing_types::Name;
 use std::time::Duration;
 
@@ -102,7 +102,7 @@
         self.runners.iter().map(FakeRunner::adapter_loads).sum()
     }
 
-    fn begin_load(&mut self, i: usize, epoch: u64, model: Name, checkpoint: Checkpoint) {
+    fn begin_load(&mut self, i: usize, epoch: u64, model: Name, checkpoint: CheckpointLocation) {
         self.tally.loads += 1;
         let memory = self.memory(&model);
         let span = self.deployment.load_span(memory, checkpoint);
@@ -113,7 +113,7 @@
         if self.runners[i].is_hanging {
             return;
         }
-        if checkpoint == Checkpoint::Remote {
+        if checkpoint == CheckpointLocation::Remote {
             let centre = &self.runners[i].spec.centre;
             if let Some(centre) = self.centres.iter().position(|c| c.name == *centre) {
                 self.owner.begun(centre);
@@ -152,7 +152,9 @@
         if !known.is_alive || !is_wanted {
             return;
         }
-        let span = self.deployment.load_span(memory, Checkpoint::Remote);
+        let span = self
+            .deployment
+            .load_span(memory, CheckpointLocation::Remote);
         self.note_begun(&model);
         self.store.begin(self.now, runner, epoch, model, span);
         self.schedule_store();
--- a/crates/sequoiawing_bench/src/world/placing.rs
+++ b/crates/sequoiawing_bench/src/world/placing.rs
@@ -71,7 +71,7 @@
                     let target = (pool, model);
                     self.push(self.now, Event::Recall { centre, target });
                 }
-                PlaceAction::Want { loads, .. } => {
+                PlaceAction::ReportDemand { loads, .. } => {
                     self.owner.want(centre, loads);
                     self.grant();
                 }
--- a/crates/sequoiawing_bench/src/world/requests.rs
+++ b/crates/sequoiawing_bench/src/world/requests.rs
@@ -64,7 +64,7 @@
             ready: None,
             orders: 0,
             span: self.deployment.load_span(memory, place),
-            is_remote: place == sequoiawing_policy::Checkpoint::Remote,
+            is_remote: place == sequoiawing_policy::CheckpointLocation::Remote,
             requests: vec![cold_request],
         };
         self.cold.insert(request.model.clone(), cold);
--- a/crates/sequoiawing_bench/src/world/state.rs
+++ b/crates/sequoiawing_bench/src/world/state.rs
@@ -12,7 +12,7 @@
 };
 use sequoiawing_fleet::UpstreamState;
 use sequoiawing_policy::{
-    DispatchSettings, Dispatcher, IdleSettings, Leading, PlaceEvent, PlaceSettings, Placer,
+    DispatchSettings, Dispatcher, KeepAliveSettings, Leadership, PlaceEvent, PlaceSettings, Placer,
 };
 use sequoiawing_types::{Name, Time};
 use std::{
@@ -30,7 +30,7 @@
     /// Whether they also do so at each change.
     pub is_prompt: bool,
     /// The bounds of the learned keep-alive.
-    pub idle: IdleSettings,
+    pub idle: KeepAliveSettings,
     /// The bounds of the placers.
     pub place: PlaceSettings,
 }
@@ -41,7 +41,7 @@
             seed: 1,
             interval: Duration::from_millis(250),
             is_prompt: true,
-            idle: IdleSettings::default(),
+            idle: KeepAliveSettings::default(),
             place: PlaceSettings::default(),
         }
     }
@@ -215,7 +215,7 @@
         let settings = PlaceSettings {
             centre: self.deployment.centres[centre].clone(),
             load_slots: (self.deployment.store.slots / centres).max(1),
-            load_starts: self.deployment.store.starts / f64::from(centres),
+            load_rate: self.deployment.store.starts / f64::from(centres),
             store_slots: self.deployment.store.slots,
             ..self.settings.place.clone()
         };
@@ -258,13 +258,18 @@
     fn lead(&mut self, centre: usize, quiet: Duration) {
         let state = &mut self.centres[centre];
         state.term += 1;
-        let leading = Some(Leading {
+        let leading = Some(Leadership {
             term: state.term,
-            seed: state.term << 32,
-            quiet,
-            blind: Duration::ZERO,
+            order_base: state.term << 32,
+            order_grace: quiet,
+            discovery_wait: Duration::ZERO,
         });
-        self.tell_placer(centre, PlaceEvent::Led { leading });
+        self.tell_placer(
+            centre,
+            PlaceEvent::LeadershipChanged {
+                leadership: leading,
+            },
+        );
     }
 
     pub(crate) fn new_leader(&mut self, centre: usize) {
--- a/crates/sequoiawing_bench/tests/shares/world.rs
+++ b/crates/sequoiawing_bench/tests/shares/world.rs
@@ -8,7 +8,9 @@
 use rand_chacha::ChaCha8Rng;
 use sequoiawing_cell::{Cell, CellAction, CellEvent, CellSettings, ShareCount, Version};
 use sequoiawing_fleet::{Demand, Order};
-use sequoiawing_policy::{FixedKeepAlive, Leading, PlaceAction, PlaceEvent, PlaceSettings, Placer};
+use sequoiawing_policy::{
+    FixedKeepAlive, Leadership, PlaceAction, PlaceEvent, PlaceSettings, Placer,
+};
 use sequoiawing_tables::{Change, Command, Model, Outcome, Pool, RouterHost, Tables};
 use sequoiawing_types::{Name, RequestId, Time};
 use std::{
@@ -120,9 +122,9 @@
         let settings = PlaceSettings {
             centre: centre(i / HOSTS),
             load_slots: 100,
-            load_starts: 1_000.0,
+            load_rate: 1_000.0,
             order_lifetime: Duration::from_millis(200),
-            shortest_stay: Duration::from_millis(200),
+            min_residency: Duration::from_millis(200),
             ..PlaceSettings::default()
         };
         let idle = FixedKeepAlive::new(Duration::from_millis(800));
@@ -142,7 +144,7 @@
     /// Starts a host again without memory. The tables that its neighbours give
     /// it are those that it had.
     pub(crate) fn restart(&mut self, i: usize) {
-        let old = self.hosts[i].placer.may_hold();
+        let old = self.hosts[i].placer.allotted_replicas();
         let mut fresh = self.host(i);
         fresh.tables = self.hosts[i].tables.clone();
         fresh.old = old;
@@ -263,14 +265,19 @@
             self.place(i, PlaceEvent::Announced(state.into()));
         }
         let host = &self.hosts[i];
-        let leading = host.cell.lease(now).map(|l| Leading {
+        let leading = host.cell.lease(now).map(|l| Leadership {
             term: l.term,
-            seed: host.seed,
-            quiet: Duration::from_millis(200),
-            blind: Duration::ZERO,
+            order_base: host.seed,
+            order_grace: Duration::from_millis(200),
+            discovery_wait: Duration::ZERO,
         });
         let term = leading.map_or(0, |l| l.term);
-        self.place(i, PlaceEvent::Led { leading });
+        self.place(
+            i,
+            PlaceEvent::LeadershipChanged {
+                leadership: leading,
+            },
+        );
         let host = &mut self.hosts[i];
         let shares = host.cell.shares(now).filter(|_| term > host.inherited);
         let shares = shares.map(|r| r.counts.clone());
@@ -326,7 +333,7 @@
                         self.send(i, to, payload, 20);
                     }
                 }
-                PlaceAction::Want { .. } => {}
+                PlaceAction::ReportDemand { .. } => {}
             }
         }
     }
--- a/crates/sequoiawing_policy/src/dispatch/seats.rs
+++ b/crates/sequoiawing_policy/src/dispatch/seats.rs
@@ -1,5 +1,5 @@
 use crate::{
-    Candidate, Checkpoint, ChooseUpstream, Work,
+    Candidate, CheckpointLocation, ChooseUpstream, Work,
     dispatch::seat::{Seat, average},
 };
 use sequoiawing_fleet::{UpstreamKind, UpstreamState};
@@ -25,7 +25,7 @@
     is_away: bool,
     /// Whether the model is not being loaded there.
     is_still: bool,
-    checkpoint: Checkpoint,
+    checkpoint: CheckpointLocation,
     spread: u64,
 }
 
@@ -229,7 +229,7 @@
                 is_far: is_loaded && !is_home && (!is_adapter || !state.has_model(model)),
                 is_away: is_adapter && !state.has_model(model),
                 is_still: !state.is_loading(model),
-                checkpoint: Checkpoint::of(state, model),
+                checkpoint: CheckpointLocation::of(state, model),
                 spread: spread(model, &state.centre),
             };
             let known = best.entry(&state.centre).or_insert(standing);
--- a/crates/sequoiawing_policy/src/keep_alive/fixed.rs
+++ b/crates/sequoiawing_policy/src/keep_alive/fixed.rs
@@ -2,32 +2,35 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::HashMap, time::Duration};
 
-/// Keeps every model loaded for the same time after its last use.
+/// Keeps every model loaded for a fixed time after its last use.
 #[derive(Clone, Debug)]
 pub struct FixedKeepAlive {
-    span: Duration,
-    used: HashMap<Name, Time>,
+    keep_time: Duration,
+    last_uses: HashMap<Name, Time>,
 }
 
 impl FixedKeepAlive {
-    /// Returns a keep-alive of `span`.
-    pub fn new(span: Duration) -> Self {
-        let used = HashMap::new();
-        Self { span, used }
+    /// Creates a policy that keeps models loaded for `keep_time`.
+    pub fn new(keep_time: Duration) -> Self {
+        let last_uses = HashMap::new();
+        Self {
+            keep_time,
+            last_uses,
+        }
     }
 }
 
 impl KeepAlive for FixedKeepAlive {
-    fn used(&mut self, now: Time, name: &Name) {
-        self.used.insert(name.clone(), now);
+    fn record_use(&mut self, now: Time, name: &Name) {
+        self.last_uses.insert(name.clone(), now);
     }
 
-    fn span(&self, _name: &Name) -> Duration {
-        self.span
+    fn keep_time(&self, _name: &Name) -> Duration {
+        self.keep_time
     }
 
-    fn unused(&self, now: Time, name: &Name) -> Duration {
-        let used = self.used.get(name);
+    fn idle_time(&self, now: Time, name: &Name) -> Duration {
+        let used = self.last_uses.get(name);
         used.map_or(Duration::MAX, |at| now.since(*at))
     }
 }
--- a/crates/sequoiawing_policy/src/keep_alive/gaps.rs
+++ b/crates/sequoiawing_policy/src/keep_alive/gap_histogram.rs
@@ -1,40 +1,41 @@
 use std::time::Duration;
 
-/// The buckets of a histogram; each is twice as wide as the one before.
+/// The number of histogram buckets; each is twice as wide as the previous one.
 const BUCKETS: usize = 16;
 
 /// The upper bound of the first bucket, in seconds.
 const FIRST_SECS: f32 = 1.0;
 
-/// The count at which all buckets are halved, so that old gaps fade.
-const FADE_AT: u8 = 64;
+/// The bucket count at which all buckets are halved, so that old gaps lose
+/// weight.
+const HALVE_AT: u8 = 64;
 
-/// The gaps that must have been seen before a pattern counts as plain.
-const PLAIN_COUNT: u16 = 5;
+/// The minimum number of gaps before a use pattern counts as regular.
+const MIN_REGULAR_GAPS: u16 = 5;
 
-/// The mean deviation up to which a pattern counts as plain, as a part of the
-/// mean gap.
-const PLAIN_DEVIATION: f32 = 0.08;
+/// The maximum mean deviation of a regular pattern, as a fraction of the mean
+/// gap.
+const MAX_REGULAR_DEVIATION: f32 = 0.08;
 
-/// The weight of the newest gap in the means.
-const NEWEST: f32 = 0.25;
+/// The weight of the latest gap in the moving averages.
+const EWMA_WEIGHT: f32 = 0.25;
 
-/// The gaps between uses of one model, in 32 bytes.
+/// A histogram of the gaps between uses of one model, in 32 bytes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Gaps {
+pub(crate) struct GapHistogram {
     counts: [u8; BUCKETS],
     mean: f32,
     deviation: f32,
     seen: u16,
 }
 
-impl Gaps {
-    /// Takes in a gap.
+impl GapHistogram {
+    /// Adds a gap.
     pub(crate) fn add(&mut self, gap: Duration) {
         let secs = gap.as_secs_f32();
         let bucket = &mut self.counts[bucket_of(secs)];
         *bucket += 1;
-        if *bucket >= FADE_AT {
+        if *bucket >= HALVE_AT {
             for count in &mut self.counts {
                 *count /= 2;
             }
@@ -43,17 +44,18 @@
             self.mean = secs;
         } else {
             let error = secs - self.mean;
-            self.mean += NEWEST * error;
-            self.deviation += NEWEST * (error.abs() - self.deviation);
+            self.mean += EWMA_WEIGHT * error;
+            self.deviation += EWMA_WEIGHT * (error.abs() - self.deviation);
         }
         self.seen = self.seen.saturating_add(1);
     }
 
-    /// Returns when the next use is due after the last one, as its earliest and
-    /// latest moment, if the pattern is plain.
-    pub(crate) fn due(&self) -> Option<(Duration, Duration)> {
-        let is_plain = self.seen >= PLAIN_COUNT && self.deviation <= self.mean * PLAIN_DEVIATION;
-        if !is_plain {
+    /// Returns the earliest and latest expected time from the last use to the
+    /// next, if the pattern is regular.
+    pub(crate) fn next_use(&self) -> Option<(Duration, Duration)> {
+        let is_regular =
+            self.seen >= MIN_REGULAR_GAPS && self.deviation <= self.mean * MAX_REGULAR_DEVIATION;
+        if !is_regular {
             return None;
         }
         let margin = (3.0 * self.deviation).max(self.mean * 0.02);
@@ -62,28 +64,34 @@
         Some((earliest, latest))
     }
 
-    /// Returns the time to stay loaded that costs least, up to `limit`.
+    /// Returns the keep-alive time with the lowest expected cost, up to
+    /// `limit`.
     ///
-    /// Staying costs the time until the next use or until unloading, and a
-    /// next use after unloading costs `miss`. `prior` is a gap that is assumed
-    /// to have been seen once, so that little evidence changes little.
-    pub(crate) fn best_span(&self, miss: Duration, prior: Duration, limit: Duration) -> Duration {
+    /// The cost is the loaded time until the next use or until unloading, plus
+    /// `reload_cost` for a use after unloading. One gap of `prior` is added to
+    /// the histogram, so that few observations have little effect.
+    pub(crate) fn best_keep_time(
+        &self,
+        reload_cost: Duration,
+        prior: Duration,
+        limit: Duration,
+    ) -> Duration {
         let limit = limit.as_secs_f32();
-        let miss = miss.as_secs_f32();
+        let reload_cost = reload_cost.as_secs_f32();
         let prior = bucket_of(prior.as_secs_f32());
         let count = |i: usize| f32::from(self.counts[i]) + f32::from(u8::from(i == prior));
         let total: f32 = (0..BUCKETS).map(count).sum();
-        let mut best = (total * miss, 0.0);
-        let mut held = 0.0;
-        let mut left = total;
+        let mut best = (total * reload_cost, 0.0);
+        let mut loaded_cost = 0.0;
+        let mut remaining_count = total;
         for i in 0..BUCKETS {
             let span = upper(i);
             if span > limit {
                 break;
             }
-            held += count(i) * middle(i);
-            left -= count(i);
-            let cost = held + left * (span + miss);
+            loaded_cost += count(i) * middle(i);
+            remaining_count -= count(i);
+            let cost = loaded_cost + remaining_count * (span + reload_cost);
             if cost < best.0 {
                 best = (cost, span);
             }
@@ -91,7 +99,7 @@
         Duration::from_secs_f32(best.1)
     }
 
-    /// Returns the mean time until the next use, given that none came for
+    /// Returns the mean time until the next use, given that there was none for
     /// `idle`.
     pub(crate) fn remaining(&self, idle: Duration) -> Option<Duration> {
         if self.seen == 0 {
--- a/crates/sequoiawing_policy/src/keep_alive/learned.rs
+++ b/crates/sequoiawing_policy/src/keep_alive/learned.rs
@@ -1,68 +1,68 @@
-use crate::{KeepAlive, Wake, keep_alive::gaps::Gaps};
+use crate::{KeepAlive, Preload, keep_alive::gap_histogram::GapHistogram};
 use sequoiawing_types::{Name, Time};
 use std::{
     collections::{BTreeSet, HashMap},
     time::Duration,
 };
 
-/// The bounds of a learned keep-alive.
+/// The settings of a learned keep-alive.
 #[derive(Clone, Debug)]
-pub struct IdleSettings {
-    /// The shortest time that a model stays loaded after its last use.
-    pub shortest: Duration,
-    /// The longest time.
-    pub longest: Duration,
-    /// How long a model may idle to avoid one load, as a multiple of the time
-    /// that the load takes. More means fewer cold starts and more idle hours.
-    pub patience: u32,
-    /// The gap that is assumed before any was seen.
-    pub prior: Duration,
-    /// The models and adapters that are remembered.
+pub struct KeepAliveSettings {
+    /// The minimum time that a model stays loaded after its last use.
+    pub min: Duration,
+    /// The maximum time that a model stays loaded after its last use.
+    pub max: Duration,
+    /// The idle time that is worth avoiding one load, as a multiple of the load
+    /// time. A higher factor means fewer cold starts and more idle hours.
+    pub idle_factor: u32,
+    /// The gap that is assumed before any was observed.
+    pub prior_gap: Duration,
+    /// The maximum number of remembered models and adapters.
     pub capacity: usize,
 }
 
-impl Default for IdleSettings {
+impl Default for KeepAliveSettings {
     fn default() -> Self {
         Self {
-            shortest: Duration::from_secs(5),
-            longest: Duration::from_mins(10),
-            patience: 400,
-            prior: Duration::from_mins(2),
+            min: Duration::from_secs(5),
+            max: Duration::from_mins(10),
+            idle_factor: 400,
+            prior_gap: Duration::from_mins(2),
             capacity: 100_000,
         }
     }
 }
 
-/// Uses that are closer together than this belong to one visit.
-const VISIT: Duration = Duration::from_secs(1);
+/// Uses with smaller gaps than this belong to one session.
+const SESSION_GAP: Duration = Duration::from_secs(1);
 
-/// The time that a load is assumed to take before one was seen.
+/// The load time assumed until one has been observed.
 const LOAD_TIME: Duration = Duration::from_secs(3);
 
-/// The plain patterns that are watched at most, so that adapters by the ten
-/// thousand cost no time.
-const MAX_WATCHED: usize = 1_024;
+/// The maximum number of scheduled preloads, which bounds the cost of tens of
+/// thousands of adapters.
+const MAX_SCHEDULED: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     last: Time,
-    /// The time of a load, in milliseconds; zero when unknown.
+    /// The load time, in milliseconds, or zero if unknown.
     load: u32,
-    gaps: Gaps,
+    gaps: GapHistogram,
 }
 
-/// Learns from the gaps between the uses of each model how long it is worth
-/// keeping it, and loads it ahead where its pattern is plain.
+/// Derives the keep-alive time from the gaps between a model's uses, and
+/// preloads models with a regular pattern.
 #[derive(Debug, Default)]
 pub struct LearnedKeepAlive {
-    settings: IdleSettings,
+    settings: KeepAliveSettings,
     usages: HashMap<Name, Usage>,
-    due: BTreeSet<(Time, Name)>,
+    preload_queue: BTreeSet<(Time, Name)>,
 }
 
 impl LearnedKeepAlive {
-    /// Returns a keep-alive that has seen nothing.
-    pub fn new(settings: IdleSettings) -> Self {
+    /// Creates a policy without observations.
+    pub fn new(settings: KeepAliveSettings) -> Self {
         Self {
             settings,
             ..Self::default()
@@ -70,18 +70,19 @@
     }
 
     fn schedule(&mut self, name: &Name, before: Option<Usage>, after: Usage) {
-        if let Some(at) = before.and_then(|u| wake_time(&u)) {
-            self.due.remove(&(at, name.clone()));
+        if let Some(at) = before.and_then(|u| preload_time(&u)) {
+            self.preload_queue.remove(&(at, name.clone()));
         }
-        if let Some(at) = wake_time(&after)
-            && self.due.len() < MAX_WATCHED
+        if let Some(at) = preload_time(&after)
+            && self.preload_queue.len() < MAX_SCHEDULED
         {
-            self.due.insert((at, name.clone()));
+            self.preload_queue.insert((at, name.clone()));
         }
     }
 
-    /// Drops the longest unused half when too many are remembered.
-    fn bound(&mut self) {
+    /// Removes the least recently used half of the models when the capacity is
+    /// exceeded.
+    fn evict_old(&mut self) {
         if self.usages.len() <= self.settings.capacity {
             return;
         }
@@ -91,15 +92,16 @@
         let median = *median;
         self.usages.retain(|_, u| u.last >= median);
         let usages = &self.usages;
-        self.due.retain(|(_, name)| usages.contains_key(name));
+        self.preload_queue
+            .retain(|(_, name)| usages.contains_key(name));
     }
 }
 
-/// Returns when to load the model ahead: its load time before the earliest
-/// moment of its next use.
-fn wake_time(usage: &Usage) -> Option<Time> {
-    let (earliest, _) = usage.gaps.due()?;
-    let lead = load_time(usage) + VISIT;
+/// Returns when to preload the model: its load time plus [`SESSION_GAP`] before
+/// the earliest expected use.
+fn preload_time(usage: &Usage) -> Option<Time> {
+    let (earliest, _) = usage.gaps.next_use()?;
+    let lead = load_time(usage) + SESSION_GAP;
     Some(usage.last + earliest.saturating_sub(lead))
 }
 
@@ -111,73 +113,78 @@
 }
 
 impl KeepAlive for LearnedKeepAlive {
-    fn used(&mut self, now: Time, name: &Name) {
+    fn record_use(&mut self, now: Time, name: &Name) {
         let before = self.usages.get(name).copied();
         let mut usage = before.unwrap_or(Usage {
             last: now,
             load: 0,
-            gaps: Gaps::default(),
+            gaps: GapHistogram::default(),
         });
         let gap = now.since(usage.last);
         usage.last = now;
-        if gap >= VISIT {
+        if gap >= SESSION_GAP {
             usage.gaps.add(gap);
         }
         self.usages.insert(name.clone(), usage);
         self.schedule(name, before, usage);
-        self.bound();
+        self.evict_old();
     }
 
-    fn loaded(&mut self, name: &Name, took: Duration) {
+    fn record_load(&mut self, name: &Name, took: Duration) {
         if let Some(usage) = self.usages.get_mut(name) {
             usage.load = u32::try_from(took.as_millis()).unwrap_or(u32::MAX);
         }
     }
 
-    fn span(&self, name: &Name) -> Duration {
+    fn keep_time(&self, name: &Name) -> Duration {
         let settings = &self.settings;
         let Some(usage) = self.usages.get(name) else {
-            return settings.prior.clamp(settings.shortest, settings.longest);
+            return settings.prior_gap.clamp(settings.min, settings.max);
         };
-        let miss = load_time(usage) * settings.patience;
-        let best = usage.gaps.best_span(miss, settings.prior, settings.longest);
-        let plain = usage.gaps.due().filter(|(earliest, _)| *earliest > best);
-        let span = if plain.is_some() {
-            settings.shortest
+        let reload_cost = load_time(usage) * settings.idle_factor;
+        let best = usage
+            .gaps
+            .best_keep_time(reload_cost, settings.prior_gap, settings.max);
+        let regular = usage
+            .gaps
+            .next_use()
+            .filter(|(earliest, _)| *earliest > best);
+        let span = if regular.is_some() {
+            settings.min
         } else {
             best
         };
-        span.clamp(settings.shortest, settings.longest)
+        span.clamp(settings.min, settings.max)
     }
 
-    fn until_use(&self, now: Time, name: &Name) -> Option<Duration> {
+    fn time_to_use(&self, now: Time, name: &Name) -> Option<Duration> {
         let usage = self.usages.get(name)?;
         let idle = now.since(usage.last);
-        let (earliest, latest) = usage.gaps.due().unwrap_or_default();
+        let (earliest, latest) = usage.gaps.next_use().unwrap_or_default();
         if idle < latest {
-            return Some(earliest.saturating_sub(idle).max(VISIT));
+            return Some(earliest.saturating_sub(idle).max(SESSION_GAP));
         }
         usage.gaps.remaining(idle)
     }
 
-    fn unused(&self, now: Time, name: &Name) -> Duration {
+    fn idle_time(&self, now: Time, name: &Name) -> Duration {
         let usage = self.usages.get(name);
         usage.map_or(Duration::MAX, |u| now.since(u.last))
     }
 
-    fn wakes(&mut self, now: Time) -> Vec<Wake> {
-        let mut wakes = Vec::new();
-        while let Some((at, name)) = self.due.first().cloned() {
+    fn preloads(&mut self, now: Time) -> Vec<Preload> {
+        let mut preloads = Vec::new();
+        while let Some((at, name)) = self.preload_queue.first().cloned() {
             if at > now {
                 break;
             }
-            self.due.pop_first();
-            let due = self.usages.get(&name).and_then(|u| u.gaps.due());
+            self.preload_queue.pop_first();
+            let due = self.usages.get(&name).and_then(|u| u.gaps.next_use());
             if let Some((earliest, latest)) = due {
-                let hold = latest.saturating_sub(earliest) + LOAD_TIME + VISIT;
-                wakes.push(Wake { name, hold });
+                let hold = latest.saturating_sub(earliest) + LOAD_TIME + SESSION_GAP;
+                preloads.push(Preload { name, hold });
             }
         }
-        wakes
+        preloads
     }
 }
--- a/crates/sequoiawing_policy/src/keep_alive/mod.rs
+++ b/crates/sequoiawing_policy/src/keep_alive/mod.rs
@@ -1,19 +1,19 @@
 mod fixed;
-mod gaps;
+mod gap_histogram;
 mod learned;
 
 pub use fixed::FixedKeepAlive;
-pub use learned::{IdleSettings, LearnedKeepAlive};
+pub use learned::{KeepAliveSettings, LearnedKeepAlive};
 
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
-/// A model that is expected to be used soon.
+/// A model to load ahead of its predicted use.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Wake {
+pub struct Preload {
     /// The model.
     pub name: Name,
-    /// How long it is worth holding it in vain.
+    /// How long to keep the model loaded if it is not used.
     pub hold: Duration,
 }
 
@@ -21,27 +21,28 @@
 ///
 /// See [docs/design/idleness.md](../../../docs/design/idleness.md).
 pub trait KeepAlive: Send {
-    /// Learns that the model was used at `now`.
-    fn used(&mut self, now: Time, name: &Name);
+    /// Records that the model was used at `now`.
+    fn record_use(&mut self, now: Time, name: &Name);
 
-    /// Learns how long the model takes to load.
-    fn loaded(&mut self, _name: &Name, _took: Duration) {}
+    /// Records the duration of one of the model's loads.
+    fn record_load(&mut self, _name: &Name, _took: Duration) {}
 
-    /// Returns how long after its last use the model stays loaded.
-    fn span(&self, name: &Name) -> Duration;
+    /// Returns how long the model stays loaded after its last use.
+    fn keep_time(&self, name: &Name) -> Duration;
 
     /// Returns the expected time until the next use, if any was learned.
-    fn until_use(&self, _now: Time, _name: &Name) -> Option<Duration> {
+    fn time_to_use(&self, _now: Time, _name: &Name) -> Option<Duration> {
         None
     }
 
-    /// Returns how long the model has not been used; for ever if it never was.
-    fn unused(&self, _now: Time, _name: &Name) -> Duration {
+    /// Returns the time since the last use of the model, or [`Duration::MAX`]
+    /// if it was never used.
+    fn idle_time(&self, _now: Time, _name: &Name) -> Duration {
         Duration::MAX
     }
 
-    /// Returns the models to load before they are asked for.
-    fn wakes(&mut self, _now: Time) -> Vec<Wake> {
+    /// Returns the models whose preload is due.
+    fn preloads(&mut self, _now: Time) -> Vec<Preload> {
         Vec::new()
     }
 }
--- a/crates/sequoiawing_policy/src/lib.rs
+++ b/crates/sequoiawing_policy/src/lib.rs
@@ -15,12 +15,12 @@
 
 pub use choice::{AffinityChoice, Candidate, ChooseUpstream, LeastLoad};
 pub use dispatch::{DispatchAction, DispatchEvent, DispatchSettings, Dispatcher};
-pub use keep_alive::{FixedKeepAlive, IdleSettings, KeepAlive, LearnedKeepAlive, Wake};
+pub use keep_alive::{FixedKeepAlive, KeepAlive, KeepAliveSettings, LearnedKeepAlive, Preload};
 pub use place::{
-    CheapestReload, Checkpoint, ChoosePlace, CountReplicas, FairDeadline, FirstAsked, FirstFit,
-    Leading, LeastRecent, LoadNeed, NearestCheckpoint, NeedShare, OnePerQueue, PlaceAction,
-    PlaceEvent, PlacePolicies, PlaceSettings, Placer, RankVictims, ReplicaDemand, SequenceLoads,
-    Spot, StoreUse, TokenDemand, Victim,
+    CheapestReload, CheckpointLocation, ChoosePlacement, CountReplicas, CustomerNeed, FairDeadline,
+    FirstFit, Leadership, LeastRecentlyUsed, LoadNeed, NearestCheckpoint, OldestFirst,
+    OnePerRouter, PlaceAction, PlaceEvent, PlacePolicies, PlaceSettings, Placement, Placer,
+    RankVictims, ReplicaDemand, SequenceLoads, StoreUsage, TokenDemand, Victim,
 };
 pub use share::{FairTokens, FirstCome, MAX_PRIORITY, ShareService};
 pub use work::{Refusal, Work};
--- a/crates/sequoiawing_policy/src/place/adapters.rs
+++ b/crates/sequoiawing_policy/src/place/adapter_demands.rs
@@ -2,9 +2,9 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
-/// An adapter that someone waits for and no upstream has.
+/// An adapter with waiting requests that no upstream has loaded.
 #[derive(Clone, Debug)]
-pub(crate) struct WantedAdapter {
+pub(crate) struct AdapterDemand {
     pub(crate) pool: Name,
     pub(crate) model: Name,
     pub(crate) customer: Name,
@@ -12,21 +12,21 @@
     until: Time,
 }
 
-/// The adapters that someone waits for. Idle ones take no memory here.
+/// The adapters with waiting requests. Idle adapters take no memory here.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct WantedAdapters {
-    wanted: BTreeMap<Name, WantedAdapter>,
+pub(crate) struct AdapterDemands {
+    wanted: BTreeMap<Name, AdapterDemand>,
 }
 
-impl WantedAdapters {
-    pub(crate) fn note(&mut self, now: Time, demand: &Demand, lifetime: Duration) {
+impl AdapterDemands {
+    pub(crate) fn update(&mut self, now: Time, demand: &Demand, lifetime: Duration) {
         let Some(adapter) = &demand.adapter else {
             return;
         };
         let first = demand.shares.first();
         let deadline = now + Duration::from_millis(demand.deadline);
         let wanted = self.wanted.entry(adapter.clone());
-        let wanted = wanted.or_insert_with(|| WantedAdapter {
+        let wanted = wanted.or_insert_with(|| AdapterDemand {
             pool: demand.pool.clone(),
             model: demand.model.clone(),
             customer: first.map(|s| s.customer.clone()).unwrap_or_default(),
@@ -49,13 +49,13 @@
         self.wanted.len()
     }
 
-    /// Returns the wanted adapters: customers take turns, and each customer's
-    /// go by deadline.
-    pub(crate) fn in_turn(&self) -> Vec<(Name, WantedAdapter)> {
+    /// Returns the wanted adapters in load order: round-robin over customers,
+    /// and by deadline within a customer.
+    pub(crate) fn in_fair_order(&self) -> Vec<(Name, AdapterDemand)> {
         let mut turns: BTreeMap<&Name, u32> = BTreeMap::new();
-        let mut sorted: Vec<(&Name, &WantedAdapter)> = self.wanted.iter().collect();
+        let mut sorted: Vec<(&Name, &AdapterDemand)> = self.wanted.iter().collect();
         sorted.sort_by_key(|(_, w)| w.deadline);
-        let mut ranked: Vec<(u32, &Name, &WantedAdapter)> = Vec::new();
+        let mut ranked: Vec<(u32, &Name, &AdapterDemand)> = Vec::new();
         for (adapter, wanted) in sorted {
             let turn = turns.entry(&wanted.customer).or_default();
             *turn += 1;
--- a/crates/sequoiawing_policy/src/place/settle.rs
+++ b/crates/sequoiawing_policy/src/place/announcements.rs
@@ -1,9 +1,9 @@
-//! What a placer learns from upstreams, and how it settles their orders.
+//! Handles announcements of upstreams and completes their pending orders.
 
 use crate::{
-    Checkpoint, PlaceAction, Placer,
+    CheckpointLocation, PlaceAction, Placer,
     place::{
-        orders::{Ended, Outstanding, Phase},
+        pending_orders::{OrderOutcome, PendingOrder, Phase},
         runner::Runner,
     },
 };
@@ -11,21 +11,21 @@
 use sequoiawing_types::{Name, Time};
 use std::{sync::Arc, time::Duration};
 
-/// How many times its estimate a load may take before it is given up.
-const HANG_FACTOR: f64 = 5.0;
+/// The multiple of its estimate after which a load times out.
+const TIMEOUT_FACTOR: f64 = 5.0;
 
-/// How many times its estimate a load may take before another replica may be
-/// loaded elsewhere, within the decided number.
+/// The multiple of its estimate after which a load is late and another replica
+/// may be loaded elsewhere, within the allotment.
 const LATE_FACTOR: f64 = 1.5;
 
-/// The time before which no load counts as late.
-const SHORTEST_LATE: Duration = Duration::from_millis(700);
+/// The minimum time after which a load can be late.
+const MIN_LATE_TIME: Duration = Duration::from_millis(700);
 
-/// The time before which no load is given up.
-const SHORTEST_HANG: Duration = Duration::from_secs(5);
+/// The minimum time after which a load can time out.
+const MIN_LOAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The upstreams presumed dead that are remembered.
-const MAX_LOST: usize = 1_024;
+/// The maximum number of remembered upstreams that were presumed dead.
+const MAX_DEAD_EPOCHS: usize = 1_024;
 
 impl Placer {
     pub(crate) fn announce(&mut self, now: Time, state: &Arc<UpstreamState>) {
@@ -39,70 +39,72 @@
         let known = self.runners.get_mut(&state.name);
         if let Some(runner) = known {
             if state.version() <= runner.state.version() {
-                // The routers' registry shows it again, so it is alive.
+                // The routers' registry lists it again, so it is alive.
                 runner.gone = None;
                 return;
             }
             runner.announce(now, state.clone());
         } else {
             let mut runner = Runner::new(now, state.clone());
-            if self.lost.remove(&state.name) == Some(state.epoch) {
-                runner.rest_until(now + self.settings.order_lifetime);
+            if self.dead_epochs.remove(&state.name) == Some(state.epoch) {
+                runner.block_until(now + self.settings.order_lifetime);
             }
             self.runners.insert(state.name.clone(), runner);
         }
         for name in &state.active {
-            self.policies.idle.used(now, name);
+            self.policies.keep_alive.record_use(now, name);
         }
         self.settle(now, state);
     }
 
-    /// Settles the orders whose end the announcement shows.
+    /// Completes the orders whose outcome the announcement shows.
     fn settle(&mut self, now: Time, state: &UpstreamState) {
         let lifetime = self.settings.order_lifetime;
         let runner = self.runners.get(&state.name);
-        let steady = runner.map_or(now, |r| r.steady);
-        let mut ended = Vec::new();
+        let stable_since = runner.map_or(now, |r| r.stable_since);
+        let mut finished = Vec::new();
         for order in self.orders.iter_mut().filter(|o| o.upstream == state.name) {
             if let OrderKind::Load { model, .. } = &order.order.kind
                 && state.is_loading(model)
             {
-                order.reach(Phase::Started);
+                order.advance_to(Phase::Started);
             }
-            if let Some(end) = order.ended(now, state, lifetime, steady) {
-                ended.push((order.order.id, end));
+            if let Some(outcome) = order.outcome(now, state, lifetime, stable_since) {
+                finished.push((order.order.id, outcome));
             }
         }
-        for (id, end) in ended {
+        for (id, outcome) in finished {
             if let Some(order) = self.orders.remove(id) {
-                self.finish(now, &order, end);
+                self.finish(now, &order, outcome);
             }
         }
     }
 
-    /// Learns from an order's end.
-    fn finish(&mut self, now: Time, order: &Outstanding, end: Ended) {
+    /// Updates failures, load times and keep-alive with an order's outcome.
+    fn finish(&mut self, now: Time, order: &PendingOrder, outcome: OrderOutcome) {
         let model = &order.target.1;
         match &order.order.kind {
             OrderKind::Load { .. } => {
                 let Some(runner) = self.runners.get_mut(&order.upstream) else {
                     return;
                 };
-                match end {
-                    Ended::Done => runner.succeed(model),
-                    Ended::Failed => runner.fail(now, model),
-                    Ended::Void => {}
+                match outcome {
+                    OrderOutcome::Done => runner.clear_failures(model),
+                    OrderOutcome::Failed => runner.record_failure(now, model),
+                    OrderOutcome::Lapsed => {}
                 }
-                if end == Ended::Done && !order.is_cancelled {
-                    let took = now.since(order.sent);
-                    self.times
+                if outcome == OrderOutcome::Done && !order.is_cancelled {
+                    let took = now.since(order.first_sent);
+                    self.load_times
                         .observe(model, order.memory, order.checkpoint, took);
-                    self.policies.idle.loaded(model, took);
+                    self.policies.keep_alive.record_load(model, took);
                 }
             }
-            OrderKind::LoadAdapter { adapter } if end == Ended::Done => {
+            OrderKind::LoadAdapter { adapter } if outcome == OrderOutcome::Done => {
                 self.adapters.remove(adapter);
-                self.policies.idle.loaded(adapter, now.since(order.sent));
+                self.policies
+                    .keep_alive
+                    .record_load(adapter, now.since(order.first_sent));
             }
             _ => {}
         }
@@ -113,50 +115,51 @@
             return;
         };
         match reply {
-            Some(OrderReply::Accepted) => order.reach(Phase::Accepted),
+            Some(OrderReply::Accepted) => order.advance_to(Phase::Accepted),
             None => {}
             Some(OrderReply::Outdated { .. } | OrderReply::Rejected { .. }) => {
-                // An earlier sending may have been taken in with its reply
-                // lost; then only an announcement tells.
+                // An earlier attempt may have been accepted and its reply lost;
+                // then only an announcement shows the outcome.
                 if order.attempts > 1 {
                     return;
                 }
                 if let Some(order) = self.orders.remove(id) {
-                    self.finish(now, &order, Ended::Failed);
+                    self.finish(now, &order, OrderOutcome::Failed);
                 }
             }
         }
     }
 
-    /// Forgets the upstreams that have been gone for long enough.
+    /// Removes the upstreams that have been gone for long enough to be presumed
+    /// dead.
     pub(crate) fn presume_dead(&mut self, now: Time) {
-        let limit = self.settings.presumed_dead;
+        let limit = self.settings.dead_after;
         let is_dead = |r: &Runner| r.gone.is_some() && now >= r.seen + limit;
         let dead = self.runners.iter().filter(|(_, r)| is_dead(r));
         let dead: Vec<Name> = dead.map(|(name, _)| name.clone()).collect();
         for name in dead {
             if let Some(runner) = self.runners.remove(&name) {
-                self.lost.insert(name.clone(), runner.state.epoch);
+                self.dead_epochs.insert(name.clone(), runner.state.epoch);
             }
-            if self.lost.len() > MAX_LOST {
-                self.lost.pop_first();
+            if self.dead_epochs.len() > MAX_DEAD_EPOCHS {
+                self.dead_epochs.pop_first();
             }
             self.orders.remove_upstream(&name);
-            self.making_room.retain(|_, (on, _)| *on != name);
+            self.evictions.retain(|_, (on, _)| *on != name);
         }
     }
 
-    /// Sends the leader's fencing number to upstreams that check it, so that
-    /// their next announcement shows all that older orders did.
+    /// Sends the leader's fencing number to upstreams that check it. Their next
+    /// announcement then shows the effects of all older orders.
     pub(crate) fn send_fences(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        let Some(leading) = self.leading else {
+        let Some(leadership) = self.leadership else {
             return;
         };
-        let resend = self.settings.resend;
+        let resend = self.settings.resend_after;
         let is_due = |r: &Runner| {
-            let is_behind = r.state.fenced && r.state.fence < leading.term;
-            let rested = r.fenced.is_none_or(|at| now >= at + resend);
-            is_behind && rested && r.gone.is_none()
+            let is_behind = r.state.fenced && r.state.fence < leadership.term;
+            let may_resend = r.fenced.is_none_or(|at| now >= at + resend);
+            is_behind && may_resend && r.gone.is_none()
         };
         let due = self.runners.iter().filter(|(_, r)| is_due(r));
         let due: Vec<(Name, Name)> = due
@@ -171,12 +174,12 @@
         }
     }
 
-    /// Repeats the orders that nobody answered.
+    /// Resends unanswered orders.
     pub(crate) fn resend(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        let resend = self.settings.resend;
+        let resend = self.settings.resend_after;
         for order in self.orders.iter_mut() {
             if order.is_unanswered(now, resend) && order.order.kind != OrderKind::Fence {
-                order.last = now;
+                order.last_sent = now;
                 order.attempts += 1;
                 out.push(PlaceAction::Send {
                     upstream: order.upstream.clone(),
@@ -186,53 +189,57 @@
         }
     }
 
-    /// Gives up loads that take many times as long as others, and learns from
-    /// all that run how fast the weight store is.
+    /// Cancels loads that far exceed their estimate, and updates the estimate
+    /// of the weight store from all running loads.
     ///
-    /// The replica of a load that was given up counts until its upstream
-    /// announces that it is gone.
-    pub(crate) fn give_up_hanging(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
+    /// The replica of a cancelled load counts until its upstream announces that
+    /// it is unloaded.
+    pub(crate) fn time_out_loads(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
         let loads = self
             .orders
             .iter()
             .filter(|o| o.is_load() && !o.is_cancelled);
-        let loads: Vec<(u64, Checkpoint, f64)> = loads
+        let loads: Vec<(u64, CheckpointLocation, f64)> = loads
             .map(|o| {
-                let usual = self.times.usual(&o.target.1, o.memory, o.checkpoint);
-                let elapsed = now.since(o.sent).as_secs_f64();
+                let baseline = self
+                    .load_times
+                    .baseline(&o.target.1, o.memory, o.checkpoint);
+                let elapsed = now.since(o.first_sent).as_secs_f64();
                 (
                     o.order.id,
                     o.checkpoint,
-                    elapsed / usual.as_secs_f64().max(0.05),
+                    elapsed / baseline.as_secs_f64().max(0.05),
                 )
             })
             .collect();
-        let remote = loads.iter().filter(|(_, c, _)| *c == Checkpoint::Remote);
+        let remote = loads
+            .iter()
+            .filter(|(_, c, _)| *c == CheckpointLocation::Remote);
         let mut ratios: Vec<f64> = remote.map(|(_, _, ratio)| *ratio).collect();
         ratios.sort_by(f64::total_cmp);
-        self.times.watch(&ratios);
+        self.load_times.set_running(&ratios);
         for (id, checkpoint, ratio) in loads {
             let slowness = match checkpoint {
-                Checkpoint::Remote => self.times.slowness(),
-                Checkpoint::Memory | Checkpoint::Disk => 1.0,
+                CheckpointLocation::Remote => self.load_times.slowness(),
+                CheckpointLocation::Memory | CheckpointLocation::Disk => 1.0,
             };
             if ratio > LATE_FACTOR * slowness
                 && let Some(order) = self.orders.get_mut(id)
-                && now >= order.sent + SHORTEST_LATE
+                && now >= order.first_sent + MIN_LATE_TIME
             {
                 order.is_late = true;
             }
-            if ratio > HANG_FACTOR * slowness {
-                self.give_up(now, id, out);
+            if ratio > TIMEOUT_FACTOR * slowness {
+                self.time_out_load(now, id, out);
             }
         }
     }
 
-    fn give_up(&mut self, now: Time, id: u64, out: &mut Vec<PlaceAction>) {
+    fn time_out_load(&mut self, now: Time, id: u64, out: &mut Vec<PlaceAction>) {
         let Some(order) = self.orders.get_mut(id) else {
             return;
         };
-        if now < order.sent + SHORTEST_HANG {
+        if now < order.first_sent + MIN_LOAD_TIMEOUT {
             return;
         }
         order.is_late = true;
@@ -242,7 +249,7 @@
         let Some(runner) = self.runners.get_mut(&upstream) else {
             return;
         };
-        runner.fail(now, &target.1);
+        runner.record_failure(now, &target.1);
         if runner.gone.is_none() {
             let model = target.1.clone();
             self.send(now, &upstream, &target, OrderKind::Unload { model }, out);
--- a/crates/sequoiawing_policy/src/place/credits.rs
+++ b/crates/sequoiawing_policy/src/place/credits.rs
@@ -1,17 +1,18 @@
 use crate::PlaceSettings;
 use sequoiawing_types::Time;
 
-/// What the data centre may take of the fleet's load budgets.
+/// The data centre's part of the fleet's load budgets.
 ///
-/// Until the first grant it has a static share of its own.
+/// A static share applies until the first grant.
 #[derive(Clone, Debug)]
 pub(crate) struct Credits {
     load_slots: u32,
     adapter_slots: u32,
     starts: f64,
-    /// The static share of starts a second; zero once starts are granted.
-    rate: f64,
-    filled: Time,
+    /// The static share of load starts, per second. Zero once starts are
+    /// granted.
+    static_rate: f64,
+    refilled_at: Time,
 }
 
 impl Credits {
@@ -19,27 +20,27 @@
         Self {
             load_slots: settings.load_slots,
             adapter_slots: settings.adapter_slots,
-            starts: settings.load_starts.max(1.0),
-            rate: settings.load_starts,
-            filled: Time::ZERO,
+            starts: settings.load_rate.max(1.0),
+            static_rate: settings.load_rate,
+            refilled_at: Time::ZERO,
         }
     }
 
     pub(crate) fn grant_loads(&mut self, slots: u32, starts: u32) {
-        if self.rate > 0.0 {
-            self.rate = 0.0;
+        if self.static_rate > 0.0 {
+            self.static_rate = 0.0;
             self.starts = 0.0;
         }
         self.load_slots = slots;
         self.starts += f64::from(starts);
     }
 
-    /// Returns to the static share, with nothing saved up.
-    pub(crate) fn lose(&mut self, now: Time, settings: &PlaceSettings) {
-        if self.rate <= 0.0 {
-            self.rate = settings.load_starts;
+    /// Reverts to the static share and discards accumulated starts.
+    pub(crate) fn revert_to_static(&mut self, now: Time, settings: &PlaceSettings) {
+        if self.static_rate <= 0.0 {
+            self.static_rate = settings.load_rate;
             self.starts = 0.0;
-            self.filled = now;
+            self.refilled_at = now;
         }
         self.load_slots = settings.load_slots;
         self.adapter_slots = settings.adapter_slots;
@@ -49,23 +50,23 @@
         self.adapter_slots = slots;
     }
 
-    /// Reports whether one more load from the weight store may be started.
+    /// Returns whether another load from the weight store may start.
     pub(crate) fn may_load(&mut self, now: Time, running: u32) -> bool {
-        if self.rate > 0.0 {
-            let span = now.since(self.filled).as_secs_f64();
-            self.starts = (self.starts + span * self.rate).min(self.rate.max(1.0));
-            self.filled = now;
+        if self.static_rate > 0.0 {
+            let span = now.since(self.refilled_at).as_secs_f64();
+            self.starts = (self.starts + span * self.static_rate).min(self.static_rate.max(1.0));
+            self.refilled_at = now;
         }
         running < self.load_slots && self.starts >= 1.0
     }
 
-    pub(crate) fn start_load(&mut self) {
+    pub(crate) fn take_start(&mut self) {
         self.starts -= 1.0;
     }
 
-    /// Returns the granted starts that were not used yet.
+    /// Returns the granted starts that are still unused.
     pub(crate) fn starts(&self) -> u32 {
-        let is_granted = self.rate <= 0.0;
+        let is_granted = self.static_rate <= 0.0;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/crates/sequoiawing_policy/src/place/estimate.rs
+++ b/crates/sequoiawing_policy/src/place/estimate.rs
@@ -1,39 +1,40 @@
-//! When a placer expects a model to be loaded.
+//! Estimates when a model is loaded.
 
 use crate::{
-    Checkpoint, Placer,
-    place::{orders::Outstanding, runner::Runner, targets::Target},
+    CheckpointLocation, Placer,
+    place::{allotments::Target, pending_orders::PendingOrder, runner::Runner},
 };
 use sequoiawing_fleet::OrderState;
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
-/// How long a load is expected to wait for others to be unloaded.
+/// The expected time for which a load waits for evictions.
 const UNLOAD_TIME: Duration = Duration::from_millis(300);
 
 impl Placer {
-    /// Reports whether loads from the model's nearest place were seen. An
-    /// estimate that rests on nothing refuses nobody.
+    /// Returns whether loads from the model's nearest checkpoint location have
+    /// been observed. Without observations, no request is refused because of an
+    /// estimate.
     fn is_estimable(&self, target: &Target, memory: u64) -> bool {
-        self.times.is_learned(self.nearest(target, memory))
+        self.load_times.is_learned(self.nearest(target, memory))
     }
 
-    /// Returns the shortest time in which the model could be loaded.
+    /// Returns the shortest estimated load time of the model.
     pub(crate) fn best_estimate(&self, target: &Target, memory: u64) -> Duration {
         let place = self.nearest(target, memory);
-        self.times.estimate(&target.1, memory, place)
+        self.load_times.estimate(&target.1, memory, place)
     }
 
-    /// Returns the nearest place of the model's checkpoint.
-    fn nearest(&self, target: &Target, memory: u64) -> Checkpoint {
+    /// Returns the nearest location of the model's checkpoint.
+    fn nearest(&self, target: &Target, memory: u64) -> CheckpointLocation {
         let runners = self.runners.values();
         let usable = runners.filter(|r| r.is_usable() && r.state.pool == target.0);
         let fitting = usable.filter(|r| r.state.memory >= memory);
-        let places = fitting.map(|r| Checkpoint::of(&r.state, &target.1));
+        let places = fitting.map(|r| CheckpointLocation::of(&r.state, &target.1));
         places.min().unwrap_or_default()
     }
 
-    /// Answers how the decision about a model stands.
+    /// Returns the state of the model's order.
     pub(crate) fn order_state(&self, now: Time, target: &Target, memory: u64) -> OrderState {
         let loads = self.orders.iter();
         let loads = loads.filter(|o| o.is_load() && o.target == *target && !o.is_late);
@@ -44,7 +45,7 @@
         let runners = self.runners.values();
         let is_loaded = |r: &Runner| r.is_usable() && r.state.has_model(&target.1);
         let is_loaded = runners.filter(|r| r.state.pool == target.0).any(is_loaded);
-        let (serving, loading) = self.elsewhere(target);
+        let (serving, loading) = self.remote_replicas(target);
         let is_unknown = running.is_none() && loading > 0 || !self.is_estimable(target, memory);
         let is_served = is_loaded || serving > 0 || is_unknown;
         let left = if is_served { Duration::ZERO } else { left };
@@ -55,42 +56,44 @@
         }
     }
 
-    /// Estimates the rest of a load. One that is late is taken to need a
-    /// quarter more of its time so far.
-    fn time_left(&self, now: Time, order: &Outstanding) -> Duration {
+    /// Estimates the remaining time of a load. A late load is assumed to need
+    /// another quarter of its elapsed time.
+    fn time_left(&self, now: Time, order: &PendingOrder) -> Duration {
         let model = &order.target.1;
-        let estimate = self.times.estimate(model, order.memory, order.checkpoint);
-        let elapsed = now.since(order.sent);
+        let estimate = self
+            .load_times
+            .estimate(model, order.memory, order.checkpoint);
+        let elapsed = now.since(order.first_sent);
         estimate.saturating_sub(elapsed).max(elapsed / 4)
     }
 
-    /// Estimates when a model that is not yet being loaded is ready: after those
-    /// that go before it through the store.
+    /// Estimates the time until a model that is not loading yet is ready, after
+    /// the loads from the store that precede it.
     fn time_to_load(&self, now: Time, target: &Target, memory: u64) -> Duration {
         let own = self.best_estimate(target, memory);
         let is_remote = |t: &Target, memory: u64| {
             let runners = self.runners.values();
             let here = runners.filter(|r| r.is_usable() && r.state.pool == t.0);
             let mut fitting = here.filter(|r| r.state.memory >= memory);
-            fitting.all(|r| Checkpoint::of(&r.state, &t.1) == Checkpoint::Remote)
+            fitting.all(|r| CheckpointLocation::of(&r.state, &t.1) == CheckpointLocation::Remote)
         };
-        if self.making_room.contains_key(target) || !is_remote(target, memory) {
+        if self.evictions.contains_key(target) || !is_remote(target, memory) {
             return own + UNLOAD_TIME;
         }
         own + self.store_wait(now, target)
     }
 
-    /// Estimates how long a model waits for the weight store: until all that
-    /// goes before it has been loaded on slots that are never idle. Whoever is
-    /// refused by this would have come too late in any order.
+    /// Estimates how long a model waits for the weight store: until all
+    /// preceding loads complete on store slots that are never idle. A request
+    /// refused by this lower bound would miss its deadline in any load order.
     fn store_wait(&self, now: Time, target: &Target) -> Duration {
         let running = self.orders.iter();
-        let running = running.filter(|o| o.is_load() && o.checkpoint == Checkpoint::Remote);
+        let running = running.filter(|o| o.is_load() && o.checkpoint == CheckpointLocation::Remote);
         let mut ahead: Duration = running.map(|o| self.time_left(now, o)).sum();
-        let deadline = self.book.get(target).map(|w| w.deadline(now));
-        for (other, wanted) in self.book.targets() {
+        let deadline = self.demands.get(target).map(|w| w.deadline(now));
+        for (other, wanted) in self.demands.targets() {
             let is_earlier = deadline.is_none_or(|d| wanted.deadline(now) < d);
-            let is_ahead = *other != *target && is_earlier && wanted.is_live(now);
+            let is_ahead = *other != *target && is_earlier && wanted.has_waiting(now);
             if is_ahead && self.replicas(other) == 0 {
                 let memory = self.model(other).map_or(0, |m| m.memory);
                 ahead += self.best_estimate(other, memory);
--- a/crates/sequoiawing_policy/src/place/event.rs
+++ b/crates/sequoiawing_policy/src/place/event.rs
@@ -7,53 +7,55 @@
     time::Duration,
 };
 
-/// With what a host leads its cell.
+/// The parameters with which a host leads its cell.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Leading {
+pub struct Leadership {
     /// The term, which is the fencing number of all orders.
     pub term: u64,
-    /// The identifier before that of the first order. It must be above all that
-    /// were used in the term, also by an earlier start of this process.
-    pub seed: u64,
+    /// The identifier that precedes that of the first order. It must exceed all
+    /// identifiers used in the term, including those of an earlier run of this
+    /// process.
+    pub order_base: u64,
     /// How long an order of an earlier leader may still be carried out: the
-    /// rest of its lease and the longest lifetime of an order.
-    pub quiet: Duration,
-    /// How long upstreams that this host has never heard of may still hold
-    /// replicas. Zero when it has listened for as long as it takes to presume
-    /// an upstream dead, or when nobody led before.
-    pub blind: Duration,
+    /// remainder of its lease plus the maximum lifetime of an order.
+    pub order_grace: Duration,
+    /// How long upstreams unknown to this host may still hold replicas. Zero if
+    /// the host has been listening for the time after which an upstream is
+    /// presumed dead, or if there was no earlier leader.
+    pub discovery_wait: Duration,
 }
 
-/// What happens to a placer.
+/// An input to a placer.
 #[derive(Clone, Debug)]
 pub enum PlaceEvent {
     /// This host became the cell leader in a term, or stopped leading.
-    Led {
-        /// How it leads, or `None` when another host leads.
-        leading: Option<Leading>,
+    LeadershipChanged {
+        /// The parameters of leadership, or `None` if another host leads.
+        leadership: Option<Leadership>,
     },
     /// The pools changed.
     Configured {
         /// All pools.
         pools: Vec<Pool>,
     },
-    /// The data centres changed that have hosts.
+    /// The set of data centres with hosts changed.
     Centres {
-        /// All of them.
+        /// All data centres with hosts.
         centres: BTreeSet<Name>,
     },
-    /// The cell told what the data centre may hold without asking the log, as
-    /// an earlier leader recorded it.
+    /// The cell returned the earlier leader's record of what the data centre
+    /// may hold without asking the log.
     Inherited {
         /// The replicas by pool and model.
         counts: BTreeMap<(Name, Name), u32>,
     },
-    /// A majority of the cell's members remembers a record and the earlier ones.
+    /// A majority of cell members has stored a record and all earlier ones.
     Recorded {
         /// The number of the record.
         number: u64,
     },
-    /// Another data centre needs a replica of a model that this one may hold.
+    /// Another data centre needs a replica of a model whose share this one may
+    /// hold.
     Recalled {
         /// The pool.
         pool: Name,
@@ -62,89 +64,90 @@
     },
     /// An upstream of the data centre announced itself.
     Announced(Arc<UpstreamState>),
-    /// An upstream's announcement ran out.
+    /// An upstream's announcement expired.
     Gone {
         /// The upstream.
         upstream: Name,
     },
     /// The log answered how many replicas the data centre may hold. The driver
-    /// tells it once for each [`PlaceAction::Allot`], and not of an earlier term.
+    /// sends this once for each [`PlaceAction::Allot`], and not for an earlier
+    /// term.
     Allotted {
         /// The pool.
         pool: Name,
         /// The model.
         model: Name,
-        /// The replicas; `None` when the log could not be reached.
+        /// The number of replicas, or `None` if the log could not be reached.
         count: Option<u32>,
     },
-    /// An upstream answered an order; `None` when the answer was lost.
+    /// An upstream answered an order. The reply is `None` if it was lost.
     Replied {
         /// The order.
         id: u64,
         /// The answer.
         reply: Option<OrderReply>,
     },
-    /// The owner of the fleet's load budget granted a part of it. From the
-    /// first grant on, the static share of the settings no longer counts.
+    /// The owner of the fleet's load budget granted a part of it. The first
+    /// grant replaces the static share of the settings.
     LoadCredits {
-        /// The loads from the weight store that may run at once.
+        /// The maximum number of concurrent loads from the weight store.
         slots: u32,
-        /// The loads from the weight store that may be started besides those
-        /// granted before.
+        /// The additional number of loads from the weight store that may be
+        /// started.
         starts: u32,
     },
-    /// The owner of the fleet's load budget cannot be reached; the static share
-    /// of the settings counts until the next grant.
+    /// The owner of the fleet's load budget is unreachable. The static share of
+    /// the settings applies until the next grant.
     CreditsLost,
     /// The owner of the fleet's budget of adapter loads granted a part of it.
     AdapterCredits {
-        /// The adapter loads that may be in flight.
+        /// The maximum number of concurrent adapter loads.
         slots: u32,
     },
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What a placer wants done.
+/// An output of a placer, to be carried out by the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlaceAction {
-    /// Send an order to an upstream.
+    /// Sends an order to an upstream.
     Send {
         /// The upstream.
         upstream: Name,
         /// The order.
         order: Order,
     },
-    /// Ask the log to let the data centre hold so many replicas.
+    /// Asks the log for the number of replicas that the data centre may hold.
     Allot {
         /// The pool.
         pool: Name,
         /// The model.
         model: Name,
-        /// The replicas wanted in all.
+        /// The total number of replicas requested.
         want: u32,
     },
-    /// Have a majority of the cell's members remember what the data centre may
-    /// hold; [`PlaceEvent::Recorded`] follows.
+    /// Stores on a majority of cell members what the data centre may hold.
+    /// [`PlaceEvent::Recorded`] follows.
     Record {
-        /// Numbers the records.
+        /// The sequence number of the record.
         number: u64,
         /// The replicas by pool and model.
         counts: BTreeMap<(Name, Name), u32>,
     },
-    /// Ask the other data centres to release their unused share of a model.
+    /// Asks the other data centres to release their unused share of a model.
     Recall {
         /// The pool.
         pool: Name,
         /// The model.
         model: Name,
     },
-    /// Tell the owners of the fleet's budgets what this data centre could use
-    /// now. It is told when it changes.
-    Want {
-        /// The loads from the weight store that run or wait.
+    /// Reports to the owners of the fleet's budgets how much this data centre
+    /// could use now. Sent on change.
+    ReportDemand {
+        /// The running and waiting loads from the weight store.
         loads: u32,
-        /// The adapter loads that run or wait.
+        /// The running and waiting adapter loads.
         adapters: u32,
     },
 }
--- a/crates/sequoiawing_policy/src/place/ordering.rs
+++ b/crates/sequoiawing_policy/src/place/loading.rs
@@ -1,42 +1,43 @@
-//! How a placer orders loads and makes room for them.
+//! Sends load orders, and evicts models to make room for them.
 
 use crate::{
-    Checkpoint, LoadNeed, PlaceAction, Placer,
+    CheckpointLocation, LoadNeed, PlaceAction, Placer,
     place::{
-        orders::{Outstanding, Phase},
-        targets::Target,
+        allotments::Target,
+        pending_orders::{PendingOrder, Phase},
     },
 };
 use sequoiawing_fleet::{Order, OrderKind};
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
-/// How long memory is kept for a model whose victims do not go.
-const ROOM_LIMIT: Duration = Duration::from_secs(5);
+/// How long memory stays reserved for a model while the evictions do not
+/// complete.
+const EVICTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Placer {
-    /// Orders a load, or what makes room for it.
+    /// Orders a load, or the evictions that make room for it.
     pub(crate) fn load(&mut self, now: Time, need: &LoadNeed, out: &mut Vec<PlaceAction>) {
         let target = (need.pool.clone(), need.model.clone());
-        if !self.is_settled(now, &need.pool) {
+        if !self.is_pool_synced(now, &need.pool) {
             return;
         }
         let running = self.store_loads();
         let has_store = self.credits.may_load(now, running);
-        let spots = self.spots(now, need, has_store);
-        if spots.is_empty() {
+        let placements = self.placements(now, need, has_store);
+        if placements.is_empty() {
             return;
         }
-        let spot = &spots[self.policies.place.choose(&spots)];
-        let upstream = spot.state.name.clone();
-        let checkpoint = spot.checkpoint;
-        let victims = spot.victims.clone();
-        if spot.is_free {
-            self.making_room.remove(&target);
+        let placement = &placements[self.policies.placement.choose(&placements)];
+        let upstream = placement.state.name.clone();
+        let checkpoint = placement.checkpoint;
+        let victims = placement.victims.clone();
+        if placement.has_room {
+            self.evictions.remove(&target);
             self.order_load(now, &upstream, &target, need, checkpoint, out);
             return;
         }
-        self.make_room(now, &upstream, &target, need.memory, &victims, out);
+        self.evict_for(now, &upstream, &target, need.memory, &victims, out);
     }
 
     fn order_load(
@@ -45,14 +46,14 @@
         upstream: &Name,
         target: &Target,
         need: &LoadNeed,
-        checkpoint: Checkpoint,
+        checkpoint: CheckpointLocation,
         out: &mut Vec<PlaceAction>,
     ) {
-        if checkpoint == Checkpoint::Remote {
-            self.credits.start_load();
+        if checkpoint == CheckpointLocation::Remote {
+            self.credits.take_start();
         }
         if let Some(runner) = self.runners.get_mut(upstream) {
-            runner.reserve(&target.1, need.memory);
+            runner.allocate(&target.1, need.memory);
         }
         self.policies.sequence.started(need);
         let model = target.1.clone();
@@ -66,7 +67,7 @@
         );
     }
 
-    fn make_room(
+    fn evict_for(
         &mut self,
         now: Time,
         upstream: &Name,
@@ -75,11 +76,11 @@
         victims: &[Name],
         out: &mut Vec<PlaceAction>,
     ) {
-        let until = now + ROOM_LIMIT;
-        self.making_room
+        let until = now + EVICTION_TIMEOUT;
+        self.evictions
             .insert(target.clone(), (upstream.clone(), until));
         if let Some(runner) = self.runners.get_mut(upstream) {
-            runner.promised.insert(target.1.clone(), memory);
+            runner.reservations.insert(target.1.clone(), memory);
         }
         for model in victims {
             let evicted = (target.0.clone(), model.clone());
@@ -91,16 +92,16 @@
         }
     }
 
-    pub(crate) fn drop_old_promises(&mut self, now: Time) {
+    pub(crate) fn expire_reservations(&mut self, now: Time) {
         let old = self
-            .making_room
+            .evictions
             .iter()
-            .filter(|(target, (_, until))| *until <= now || !self.book.is_wanted(now, target));
+            .filter(|(target, (_, until))| *until <= now || !self.demands.is_wanted(now, target));
         let old: Vec<(Target, Name)> = old.map(|(t, (on, _))| (t.clone(), on.clone())).collect();
         for (target, upstream) in old {
-            self.making_room.remove(&target);
+            self.evictions.remove(&target);
             if let Some(runner) = self.runners.get_mut(&upstream) {
-                runner.promised.remove(&target.1);
+                runner.reservations.remove(&target.1);
             }
         }
     }
@@ -113,7 +114,7 @@
         kind: OrderKind,
         out: &mut Vec<PlaceAction>,
     ) {
-        let Some(leading) = self.leading else {
+        let Some(leadership) = self.leadership else {
             return;
         };
         let Some(runner) = self.runners.get(upstream) else {
@@ -128,25 +129,25 @@
             OrderKind::Load { memory, .. } => *memory,
             _ => 0,
         };
-        self.next_order += 1;
+        self.last_order += 1;
         let order = Order {
-            id: self.next_order,
-            fence: leading.term,
+            id: self.last_order,
+            fence: leadership.term,
             epoch: runner.state.epoch,
             kind,
         };
-        self.orders.insert(Outstanding {
+        self.orders.insert(PendingOrder {
             upstream: upstream.clone(),
             target: target.clone(),
             order: order.clone(),
-            sent: now,
-            last: now,
+            first_sent: now,
+            last_sent: now,
             attempts: 1,
             phase: Phase::Sent,
             is_late: false,
             is_cancelled: false,
             had_failed,
-            checkpoint: Checkpoint::of(&runner.state, &target.1),
+            checkpoint: CheckpointLocation::of(&runner.state, &target.1),
             memory,
         });
         let upstream = upstream.clone();
--- a/crates/sequoiawing_policy/src/place/need.rs
+++ b/crates/sequoiawing_policy/src/place/need.rs
@@ -1,18 +1,18 @@
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
-/// What one customer wants of a model that is to be loaded.
+/// The demand of one customer for a model that is to be loaded.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct NeedShare {
+pub struct CustomerNeed {
     /// The customer.
     pub customer: Name,
-    /// Its share of service beside others.
+    /// The customer's weight in fair sharing.
     pub weight: u32,
     /// The tokens that its waiting requests ask for.
     pub tokens: u64,
 }
 
-/// A replica that is wanted and not yet ordered.
+/// A replica that is needed and has not been ordered yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadNeed {
     /// The pool.
@@ -21,23 +21,25 @@
     pub model: Name,
     /// The accelerator memory, in MiB.
     pub memory: u64,
-    /// When it was first asked for.
+    /// When the model was first requested.
     pub since: Time,
-    /// The earliest deadline of those who wait.
+    /// The earliest deadline of the waiting requests.
     pub deadline: Time,
-    /// The estimated time of the load.
+    /// The estimated load time.
     pub estimate: Duration,
-    /// Whether anyone waits now; others were refused or are only expected.
-    pub is_live: bool,
-    /// Whether a replica is loaded or being loaded already, here or elsewhere.
-    pub is_extra: bool,
-    /// Who waits.
-    pub shares: Vec<NeedShare>,
+    /// Whether requests are waiting now. Otherwise, they were refused or are
+    /// only predicted.
+    pub has_waiting: bool,
+    /// Whether another replica is loaded or loading, in this data centre or
+    /// elsewhere.
+    pub is_additional: bool,
+    /// The demand of each customer with waiting requests.
+    pub shares: Vec<CustomerNeed>,
 }
 
 impl LoadNeed {
-    /// Reports whether nobody who waits can be served in time.
-    pub fn is_hopeless(&self, now: Time) -> bool {
-        !self.is_live || now + self.estimate > self.deadline
+    /// Returns whether no waiting request can be served before its deadline.
+    pub fn misses_deadline(&self, now: Time) -> bool {
+        !self.has_waiting || now + self.estimate > self.deadline
     }
 }
--- a/crates/sequoiawing_policy/src/place/orders.rs
+++ b/crates/sequoiawing_policy/src/place/pending_orders.rs
@@ -1,82 +1,84 @@
-use crate::{Checkpoint, place::targets::Target};
+use crate::{CheckpointLocation, place::allotments::Target};
 use sequoiawing_fleet::{Order, OrderKind, UpstreamState};
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The times that an order is sent at most.
+/// The maximum number of attempts to send an order.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// How far an order has come.
+/// The progress of an order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Phase {
-    /// It was sent.
+    /// The order was sent.
     Sent,
-    /// The upstream answered that it carries the order out.
+    /// The upstream accepted the order.
     Accepted,
-    /// The upstream announced that it is loading.
+    /// The upstream announced that it is loading the model.
     Started,
 }
 
-/// An order whose end the upstream has not yet announced.
+/// An order whose outcome the upstream has not announced yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Outstanding {
+pub(crate) struct PendingOrder {
     pub(crate) upstream: Name,
     pub(crate) target: Target,
     pub(crate) order: Order,
-    /// When it was first sent.
-    pub(crate) sent: Time,
-    /// When it was last sent.
-    pub(crate) last: Time,
+    /// When the order was first sent.
+    pub(crate) first_sent: Time,
+    /// When the order was last sent.
+    pub(crate) last_sent: Time,
     pub(crate) attempts: u32,
     pub(crate) phase: Phase,
-    /// Whether it is late, so that another replica may be loaded. It may still
-    /// reach its upstream.
+    /// Whether the order is late, so that another replica may be loaded. It may
+    /// still arrive at its upstream.
     pub(crate) is_late: bool,
-    /// Whether it was given up and the upstream told to unload.
+    /// Whether the load timed out and the upstream was told to unload.
     pub(crate) is_cancelled: bool,
-    /// Whether an earlier load was announced as failed when this was sent.
+    /// Whether an earlier load was announced as failed when this order was
+    /// sent.
     pub(crate) had_failed: bool,
-    pub(crate) checkpoint: Checkpoint,
+    pub(crate) checkpoint: CheckpointLocation,
     pub(crate) memory: u64,
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Ended {
-    /// As ordered.
+pub(crate) enum OrderOutcome {
+    /// The order was carried out.
     Done,
-    /// The upstream could not do it.
+    /// The upstream could not carry the order out.
     Failed,
-    /// The upstream restarted, or the order never reached it.
-    Void,
+    /// The upstream restarted, or the order expired before it arrived.
+    Lapsed,
 }
 
-impl Outstanding {
-    /// Returns how the order ended, if an announcement shows that it did.
-    pub(crate) fn ended(
+impl PendingOrder {
+    /// Returns the order's outcome, if an announcement shows one.
+    pub(crate) fn outcome(
         &self,
         now: Time,
         state: &UpstreamState,
         lifetime: Duration,
-        steady: Time,
-    ) -> Option<Ended> {
+        stable_since: Time,
+    ) -> Option<OrderOutcome> {
         if state.epoch != self.order.epoch {
-            return Some(Ended::Void);
+            return Some(OrderOutcome::Lapsed);
         }
         let is_taken = state.taken.contains(&self.order.id);
         // An upstream that was frozen may still find the order in its queue.
-        let expired = (now >= self.last.max(steady) + lifetime).then_some(Ended::Void);
-        let done = |is_done: bool| is_done.then_some(Ended::Done);
+        let expired =
+            (now >= self.last_sent.max(stable_since) + lifetime).then_some(OrderOutcome::Lapsed);
+        let done = |is_done: bool| is_done.then_some(OrderOutcome::Done);
         match &self.order.kind {
             OrderKind::Load { model, .. } if state.is_loading(model) => None,
-            OrderKind::Load { model, .. } => self.load_ended(state, model, is_taken).or(expired),
+            OrderKind::Load { model, .. } => self.load_outcome(state, model, is_taken).or(expired),
             OrderKind::Unload { model } => {
                 done(!state.has_model(model) && !state.is_loading(model)).or(expired)
             }
             OrderKind::LoadAdapter { adapter } => {
                 let failed = state.failed.contains(adapter) && (is_taken || !self.had_failed);
                 let failed = failed || !state.has_model(&self.target.1);
-                let failed = failed.then_some(Ended::Failed);
+                let failed = failed.then_some(OrderOutcome::Failed);
                 done(state.has_adapter(adapter)).or(failed).or(expired)
             }
             OrderKind::UnloadAdapter { adapter } => done(!state.has_adapter(adapter)).or(expired),
@@ -84,21 +86,26 @@
         }
     }
 
-    fn load_ended(&self, state: &UpstreamState, model: &Name, is_taken: bool) -> Option<Ended> {
+    fn load_outcome(
+        &self,
+        state: &UpstreamState,
+        model: &Name,
+        is_taken: bool,
+    ) -> Option<OrderOutcome> {
         if state.has_model(model) {
-            return Some(Ended::Done);
+            return Some(OrderOutcome::Done);
         }
         let has_failed = state.failed.contains(model) && !self.had_failed;
         let failed = self.phase == Phase::Started || is_taken || has_failed;
-        failed.then_some(Ended::Failed)
+        failed.then_some(OrderOutcome::Failed)
     }
 
     pub(crate) fn is_load(&self) -> bool {
         matches!(self.order.kind, OrderKind::Load { .. })
     }
 
-    /// Notes that the order has come at least so far.
-    pub(crate) fn reach(&mut self, phase: Phase) {
+    /// Raises the order's phase to at least `phase`.
+    pub(crate) fn advance_to(&mut self, phase: Phase) {
         self.phase = self.phase.max(phase);
     }
 
@@ -110,43 +117,43 @@
         matches!(self.order.kind, OrderKind::LoadAdapter { .. })
     }
 
-    /// Reports whether it is to be sent again.
+    /// Returns whether the order should be sent again.
     pub(crate) fn is_unanswered(&self, now: Time, resend: Duration) -> bool {
         self.phase == Phase::Sent
             && !self.is_cancelled
             && self.attempts < MAX_ATTEMPTS
-            && now >= self.last + resend
+            && now >= self.last_sent + resend
     }
 }
 
-/// The orders whose end no upstream has announced yet, by identifier.
+/// The orders whose outcome no upstream has announced yet, by identifier.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Orders {
-    orders: BTreeMap<u64, Outstanding>,
+pub(crate) struct PendingOrders {
+    orders: BTreeMap<u64, PendingOrder>,
 }
 
-impl Orders {
+impl PendingOrders {
     pub(crate) fn clear(&mut self) {
         self.orders.clear();
     }
 
-    pub(crate) fn insert(&mut self, order: Outstanding) {
+    pub(crate) fn insert(&mut self, order: PendingOrder) {
         self.orders.insert(order.order.id, order);
     }
 
-    pub(crate) fn remove(&mut self, id: u64) -> Option<Outstanding> {
+    pub(crate) fn remove(&mut self, id: u64) -> Option<PendingOrder> {
         self.orders.remove(&id)
     }
 
-    pub(crate) fn get_mut(&mut self, id: u64) -> Option<&mut Outstanding> {
+    pub(crate) fn get_mut(&mut self, id: u64) -> Option<&mut PendingOrder> {
         self.orders.get_mut(&id)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Outstanding> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &PendingOrder> {
         self.orders.values()
     }
 
-    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Outstanding> {
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut PendingOrder> {
         self.orders.values_mut()
     }
 
@@ -168,7 +175,7 @@
         loads.map(|o| &o.upstream)
     }
 
-    /// Reports whether the upstream has an order about the model.
+    /// Returns whether the upstream has a pending order for the model.
     pub(crate) fn has(&self, upstream: &Name, target: &Target) -> bool {
         self.iter()
             .any(|o| o.upstream == *upstream && o.target == *target)
--- a/crates/sequoiawing_policy/src/place/placer.rs
+++ b/crates/sequoiawing_policy/src/place/placer.rs
@@ -1,16 +1,16 @@
 use crate::{
-    CheapestReload, ChoosePlace, CountReplicas, FairDeadline, KeepAlive, Leading, LearnedKeepAlive,
-    NearestCheckpoint, PlaceAction, PlaceEvent, PlaceSettings, RankVictims, SequenceLoads,
-    TokenDemand,
+    CheapestReload, ChoosePlacement, CountReplicas, FairDeadline, KeepAlive, Leadership,
+    LearnedKeepAlive, NearestCheckpoint, PlaceAction, PlaceEvent, PlaceSettings, RankVictims,
+    SequenceLoads, TokenDemand,
     place::{
-        adapters::WantedAdapters,
-        book::Book,
+        adapter_demands::AdapterDemands,
+        allotments::{Allotments, Target},
         credits::Credits,
+        demand_table::DemandTable,
         load_times::LoadTimes,
-        orders::Orders,
+        pending_orders::PendingOrders,
         runner::{Runners, holders},
         shares::Shares,
-        targets::{Decisions, Target},
     },
 };
 use sequoiawing_fleet::{Demand, OrderState, UpstreamState};
@@ -18,18 +18,18 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// The decisions of a placer that can be replaced.
+/// The replaceable policies of a placer.
 pub struct PlacePolicies {
-    /// How many replicas a demand is worth.
+    /// Chooses the number of replicas for a demand.
     pub replicas: Box<dyn CountReplicas>,
-    /// In which order they are loaded.
+    /// Chooses the order in which replicas are loaded.
     pub sequence: Box<dyn SequenceLoads>,
-    /// Where they are loaded.
-    pub place: Box<dyn ChoosePlace>,
-    /// What is unloaded to make room.
+    /// Chooses where replicas are loaded.
+    pub placement: Box<dyn ChoosePlacement>,
+    /// Ranks the models to evict.
     pub victims: Box<dyn RankVictims>,
-    /// How long unused models stay loaded.
-    pub idle: Box<dyn KeepAlive>,
+    /// Decides how long unused models stay loaded.
+    pub keep_alive: Box<dyn KeepAlive>,
 }
 
 impl Default for PlacePolicies {
@@ -37,116 +37,118 @@
         Self {
             replicas: Box::new(TokenDemand),
             sequence: Box::new(FairDeadline::default()),
-            place: Box::new(NearestCheckpoint),
+            placement: Box::new(NearestCheckpoint),
             victims: Box::new(CheapestReload),
-            idle: Box::new(LearnedKeepAlive::default()),
+            keep_alive: Box::new(LearnedKeepAlive::default()),
         }
     }
 }
 
-/// How long after taking the lead a leader waits for upstreams to announce
-/// themselves before it says that none can hold a model.
-const SETTLE: Duration = Duration::from_secs(3);
+/// How long a new leader waits for upstreams to announce themselves before it
+/// reports that none can hold a model.
+const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// The longest time that a refused demand is kept, so that its model is loaded
-/// when the refused callers come back.
-const LONGEST_HOLD: Duration = Duration::from_mins(1);
+/// The maximum time that a refused demand is kept, so that its model is loaded
+/// when the refused callers retry.
+const MAX_HOLD: Duration = Duration::from_mins(1);
 
-/// How much longer than the estimate a refused demand is kept.
+/// The time that a refused demand is kept, as a multiple of the estimated load
+/// time.
 const HOLD_FACTOR: u32 = 2;
 
 /// Decides which models are loaded on which upstreams of one data centre.
 ///
-/// Memory is reserved before an order is sent and freed only by what the
-/// upstream itself announces, so that lost replies never overcommit it. A
-/// replica counts from before its order until its upstream announced that it is
-/// gone, so that there are never more than were decided. See
+/// Memory is reserved before an order is sent and freed only by an announcement
+/// of the upstream, so that lost replies never overcommit it. A replica counts
+/// from before its order is sent until its upstream announces that it is
+/// unloaded, so that the number of replicas never exceeds the allotment. See
 /// [docs/design/cold-start.md](../../../docs/design/cold-start.md).
 pub struct Placer {
     pub(crate) settings: PlaceSettings,
     pub(crate) policies: PlacePolicies,
-    pub(crate) leading: Option<Leading>,
-    /// When this host began to lead.
-    pub(crate) since: Time,
-    pub(crate) next_order: u64,
+    pub(crate) leadership: Option<Leadership>,
+    /// When this host became leader.
+    pub(crate) led_since: Time,
+    pub(crate) last_order: u64,
     pub(crate) pools: BTreeMap<Name, Pool>,
     pub(crate) runners: Runners,
-    /// The newest announcements of upstreams in other data centres.
+    /// The latest announcements of upstreams in other data centres.
     pub(crate) remote: BTreeMap<Name, Arc<UpstreamState>>,
     /// The epochs of upstreams that were presumed dead.
-    pub(crate) lost: BTreeMap<Name, u64>,
-    pub(crate) orders: Orders,
-    pub(crate) book: Book,
-    pub(crate) adapters: WantedAdapters,
-    pub(crate) decisions: Decisions,
+    pub(crate) dead_epochs: BTreeMap<Name, u64>,
+    pub(crate) orders: PendingOrders,
+    pub(crate) demands: DemandTable,
+    pub(crate) adapters: AdapterDemands,
+    pub(crate) allotments: Allotments,
     pub(crate) shares: Shares,
-    pub(crate) times: LoadTimes,
+    pub(crate) load_times: LoadTimes,
     pub(crate) credits: Credits,
-    /// The upstream where memory is being freed for a model.
-    pub(crate) making_room: BTreeMap<Target, (Name, Time)>,
-    /// The models that are kept until a moment whoever uses them.
-    pub(crate) held: BTreeMap<Target, Time>,
-    pub(crate) wanted: (u32, u32),
-    pub(crate) adapter_turn: usize,
+    /// The upstream that evicts models to make room for each target, and the
+    /// time limit.
+    pub(crate) evictions: BTreeMap<Target, (Name, Time)>,
+    /// The models that are kept loaded until a given time regardless of use.
+    pub(crate) pinned: BTreeMap<Target, Time>,
+    pub(crate) reported: (u32, u32),
+    pub(crate) adapter_cursor: usize,
 }
 
 impl Placer {
     /// Returns a placer that does not lead and knows no upstream.
     pub fn new(settings: PlaceSettings) -> Self {
-        let times = LoadTimes::new(&settings);
+        let load_times = LoadTimes::new(&settings);
         let credits = Credits::new(&settings);
         Self {
             settings,
             policies: PlacePolicies::default(),
-            leading: None,
-            since: Time::ZERO,
-            next_order: 0,
+            leadership: None,
+            led_since: Time::ZERO,
+            last_order: 0,
             pools: BTreeMap::new(),
             runners: BTreeMap::new(),
             remote: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            orders: Orders::default(),
-            book: Book::default(),
-            adapters: WantedAdapters::default(),
-            decisions: Decisions::default(),
+            dead_epochs: BTreeMap::new(),
+            orders: PendingOrders::default(),
+            demands: DemandTable::default(),
+            adapters: AdapterDemands::default(),
+            allotments: Allotments::default(),
             shares: Shares::default(),
-            times,
+            load_times,
             credits,
-            making_room: BTreeMap::new(),
-            held: BTreeMap::new(),
-            wanted: (0, 0),
-            adapter_turn: 0,
+            evictions: BTreeMap::new(),
+            pinned: BTreeMap::new(),
+            reported: (0, 0),
+            adapter_cursor: 0,
         }
     }
 
-    /// Replaces the decision how long unused models stay loaded.
+    /// Replaces the policy that decides how long unused models stay loaded.
     #[must_use]
     pub fn with_keep_alive(mut self, keep_alive: Box<dyn KeepAlive>) -> Self {
-        self.policies.idle = keep_alive;
+        self.policies.keep_alive = keep_alive;
         self
     }
 
-    /// Replaces all decisions.
+    /// Replaces all policies.
     #[must_use]
     pub fn with_policies(mut self, policies: PlacePolicies) -> Self {
         self.policies = policies;
         self
     }
 
-    /// Reports whether this host leads the cell.
+    /// Returns whether this host leads the cell.
     pub fn is_leading(&self) -> bool {
-        self.leading.is_some()
+        self.leadership.is_some()
     }
 
-    /// Returns the replicas that the data centre may hold for certain, by pool
-    /// and model.
-    pub fn may_hold(&self) -> BTreeMap<(Name, Name), u32> {
-        self.decisions.counts()
+    /// Returns the confirmed replica allotments of the data centre, by pool and
+    /// model.
+    pub fn allotted_replicas(&self) -> BTreeMap<(Name, Name), u32> {
+        self.allotments.counts()
     }
 
-    /// Takes in a demand of a router and answers how its decision stands.
+    /// Applies a router's demand and returns the state of its order.
     pub fn demand(&mut self, now: Time, demand: &Demand, out: &mut Vec<PlaceAction>) -> OrderState {
-        if self.leading.is_none() {
+        if self.leadership.is_none() {
             return OrderState::default();
         }
         let target = (demand.pool.clone(), demand.model.clone());
@@ -154,30 +156,30 @@
             return problem("the pool does not have the model");
         };
         let memory = model.memory;
-        if !self.can_ever_hold(&target.0, memory) {
-            return self.unable(now);
+        if !self.fits_any_upstream(&target.0, memory) {
+            return self.unplaceable(now);
         }
         let lifetime = self.settings.demand_lifetime;
-        self.book.note(now, demand, lifetime);
-        self.policies.idle.used(now, &demand.model);
+        self.demands.update(now, demand, lifetime);
+        self.policies.keep_alive.record_use(now, &demand.model);
         if let Some(adapter) = &demand.adapter {
-            self.policies.idle.used(now, adapter);
-            self.adapters.note(now, demand, lifetime);
+            self.policies.keep_alive.record_use(now, adapter);
+            self.adapters.update(now, demand, lifetime);
         }
         self.plan(now, out);
-        self.tell_wants(now, out);
+        self.report_demand(now, out);
         self.record(out);
         let state = self.order_state(now, &target, memory);
         let hold = Duration::from_millis(state.estimate) * HOLD_FACTOR;
-        let until = now + hold.clamp(lifetime, LONGEST_HOLD);
-        self.book.hold(now, &target, until);
+        let until = now + hold.clamp(lifetime, MAX_HOLD);
+        self.demands.keep_until(now, &target, until);
         state
     }
 
-    /// Takes in an event and adds what is to be done to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: PlaceEvent, out: &mut Vec<PlaceAction>) {
         match event {
-            PlaceEvent::Led { leading } => self.lead(now, leading),
+            PlaceEvent::LeadershipChanged { leadership } => self.lead(now, leadership),
             PlaceEvent::Configured { pools } => {
                 self.pools = pools.into_iter().map(|p| (p.name.clone(), p)).collect();
                 self.shares.divide(&self.settings.centre, &self.pools);
@@ -194,7 +196,7 @@
                 }
             }
             PlaceEvent::Allotted { pool, model, count } => {
-                self.answered(now, &(pool, model), count, out);
+                self.handle_allotment(now, &(pool, model), count, out);
                 self.plan(now, out);
             }
             PlaceEvent::Replied { id, reply } => self.reply(now, id, reply.as_ref()),
@@ -202,77 +204,77 @@
                 self.credits.grant_loads(slots, starts);
                 self.plan(now, out);
             }
-            PlaceEvent::CreditsLost => self.credits.lose(now, &self.settings),
+            PlaceEvent::CreditsLost => self.credits.revert_to_static(now, &self.settings),
             PlaceEvent::AdapterCredits { slots } => self.credits.grant_adapters(slots),
             PlaceEvent::Tick => self.tick(now, out),
         }
         self.record(out);
     }
 
-    fn lead(&mut self, now: Time, leading: Option<Leading>) {
-        let term = |l: &Option<Leading>| l.as_ref().map(|l| l.term);
-        if term(&self.leading) == term(&leading) {
+    fn lead(&mut self, now: Time, leadership: Option<Leadership>) {
+        let term = |l: &Option<Leadership>| l.as_ref().map(|l| l.term);
+        if term(&self.leadership) == term(&leadership) {
             return;
         }
         self.orders.clear();
-        self.decisions.clear();
+        self.allotments.clear();
         self.shares.clear();
-        self.making_room.clear();
+        self.evictions.clear();
         for runner in self.runners.values_mut() {
-            runner.lead();
+            runner.begin_term();
         }
-        self.since = now;
-        self.next_order = leading.map_or(0, |l| l.seed);
-        self.leading = leading;
+        self.led_since = now;
+        self.last_order = leadership.map_or(0, |l| l.order_base);
+        self.leadership = leadership;
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        self.book.expire(now);
+        self.demands.expire(now);
         self.adapters.expire(now);
-        self.held.retain(|_, until| *until > now);
+        self.pinned.retain(|_, until| *until > now);
         self.presume_dead(now);
-        if self.leading.is_none() {
+        if self.leadership.is_none() {
             return;
         }
         self.send_fences(now, out);
         self.resend(now, out);
-        self.give_up_hanging(now, out);
-        self.wake(now);
+        self.time_out_loads(now, out);
+        self.preload(now);
         self.plan(now, out);
         self.unload_surplus(now, out);
         self.unload_idle(now, out);
         self.unload_idle_adapters(now, out);
-        self.release(now, out);
-        self.tell_wants(now, out);
+        self.release_unused(now, out);
+        self.report_demand(now, out);
     }
 
-    /// Notes the models that are expected to be used soon.
-    fn wake(&mut self, now: Time) {
-        for wake in self.policies.idle.wakes(now) {
-            let having = self.pools.values();
-            let having = having.filter(|p| p.model(wake.name.as_str()).is_some());
-            let targets: Vec<Target> = having
-                .map(|p| (p.name.clone(), wake.name.clone()))
+    /// Registers the models that are predicted to be used soon.
+    fn preload(&mut self, now: Time) {
+        for preload in self.policies.keep_alive.preloads(now) {
+            let pools = self.pools.values();
+            let pools = pools.filter(|p| p.model(preload.name.as_str()).is_some());
+            let targets: Vec<Target> = pools
+                .map(|p| (p.name.clone(), preload.name.clone()))
                 .collect();
             for target in targets {
-                let until = now + wake.hold;
-                self.book.hold(now, &target, until);
-                self.held.insert(target, until);
+                let until = now + preload.hold;
+                self.demands.keep_until(now, &target, until);
+                self.pinned.insert(target, until);
             }
         }
     }
 
-    fn tell_wants(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        let waiting = self.book.targets();
+    fn report_demand(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
+        let waiting = self.demands.targets();
         let waiting = waiting
-            .filter(|(t, w)| self.need(now, t, w).is_some())
+            .filter(|(t, w)| self.missing_replica(now, t, w).is_some())
             .count();
         let loads = u32::try_from(waiting).unwrap_or(u32::MAX) + self.store_loads();
         let adapters = self.orders.iter().filter(|o| o.is_adapter_load()).count();
         let adapters = u32::try_from(adapters + self.adapters.len()).unwrap_or(u32::MAX);
-        if self.wanted != (loads, adapters) {
-            self.wanted = (loads, adapters);
-            out.push(PlaceAction::Want { loads, adapters });
+        if self.reported != (loads, adapters) {
+            self.reported = (loads, adapters);
+            out.push(PlaceAction::ReportDemand { loads, adapters });
         }
     }
 
@@ -281,29 +283,30 @@
         pool.model(target.1.as_str())
     }
 
-    fn can_ever_hold(&self, pool: &Name, memory: u64) -> bool {
+    fn fits_any_upstream(&self, pool: &Name, memory: u64) -> bool {
         let mut runners = self.runners.values();
         runners.any(|r| r.is_usable() && r.state.pool == *pool && r.state.memory >= memory)
     }
 
-    /// Answers that no upstream can hold a model, once that is certain.
-    fn unable(&self, now: Time) -> OrderState {
-        if now.since(self.since) < SETTLE {
+    /// Returns the problem that no upstream can hold a model, once enough time
+    /// has passed to be certain.
+    fn unplaceable(&self, now: Time) -> OrderState {
+        if now.since(self.led_since) < DISCOVERY_TIME {
             return OrderState::default();
         }
         problem("no upstream of the pool can hold the model")
     }
 
-    /// Counts the replicas that are loaded, loading or ordered, on upstreams
-    /// that are alive or not yet presumed dead.
+    /// Counts the replicas that are loaded, loading or ordered on upstreams
+    /// that are not presumed dead.
     pub(crate) fn replicas(&self, target: &Target) -> u32 {
         let count = holders(&self.runners, &self.orders, target).len();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Counts the replicas in other data centres that serve, and those that are
-    /// being loaded there.
-    pub(crate) fn elsewhere(&self, target: &Target) -> (u32, u32) {
+    /// Returns the numbers of serving and of loading replicas in other data
+    /// centres.
+    pub(crate) fn remote_replicas(&self, target: &Target) -> (u32, u32) {
         let remote = self.remote.values();
         let usable = remote.filter(|s| s.pool == target.0 && !s.leaving);
         let usable: Vec<&UpstreamState> = usable.map(Arc::as_ref).collect();
@@ -313,11 +316,11 @@
         (count(serving), count(loading))
     }
 
-    /// Counts the loads that use the weight store.
+    /// Counts the running loads from the weight store.
     pub(crate) fn store_loads(&self) -> u32 {
         let is_alive = |name: &Name| self.runners.get(name).is_some_and(|r| r.gone.is_none());
         let loads = self.orders.iter().filter(|o| o.is_load());
-        let loads = loads.filter(|o| o.checkpoint == crate::Checkpoint::Remote);
+        let loads = loads.filter(|o| o.checkpoint == crate::CheckpointLocation::Remote);
         let count = loads.filter(|o| is_alive(&o.upstream)).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
--- a/crates/sequoiawing_policy/src/place/plan.rs
+++ b/crates/sequoiawing_policy/src/place/plan.rs
@@ -1,61 +1,63 @@
-//! How a placer turns what is wanted into orders.
+//! Turns demand into load orders.
 
 use crate::{
     LoadNeed, PlaceAction, Placer,
-    place::{book::Wanted, runner::holders, targets::Target},
+    place::{allotments::Target, demand_table::ModelDemand, runner::holders},
 };
 use sequoiawing_types::{Name, Time};
 
-/// The requests that an upstream is taken to run at once when none is known.
+/// The assumed number of concurrent requests per upstream if none is known.
 const DEFAULT_SLOTS: u32 = 1;
 
 impl Placer {
-    /// Orders what is wanted, decided and fits, the most urgent first.
+    /// Orders loads that are needed, allotted and fit, the most urgent first.
     pub(crate) fn plan(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        if self.leading.is_none() {
+        if self.leadership.is_none() {
             return;
         }
-        self.drop_old_promises(now);
+        self.expire_reservations(now);
         self.plan_adapters(now, out);
-        for need in self.needs(now, out) {
+        for need in self.missing_replicas(now, out) {
             self.load(now, &need, out);
         }
     }
 
-    /// Returns the replicas that are wanted and decided but not ordered, in the
-    /// order in which they are to be loaded, and asks the log for the others.
-    fn needs(&mut self, now: Time, out: &mut Vec<PlaceAction>) -> Vec<LoadNeed> {
-        let wanted = self.book.targets();
-        let wanted = wanted.filter_map(|(t, w)| self.need(now, t, w));
+    /// Returns the replicas that are allotted but not ordered, in load order,
+    /// and requests allotments for the others.
+    fn missing_replicas(&mut self, now: Time, out: &mut Vec<PlaceAction>) -> Vec<LoadNeed> {
+        let wanted = self.demands.targets();
+        let wanted = wanted.filter_map(|(t, w)| self.missing_replica(now, t, w));
         let wanted: Vec<(LoadNeed, u32)> = wanted.collect();
         let mut needs = Vec::new();
         for (need, want) in wanted {
             let target = (need.pool.clone(), need.model.clone());
             let held = self.replicas(&target);
-            if self.decisions.allotted(&target) > held {
+            if self.allotments.allotted(&target) > held {
                 needs.push(need);
             } else {
-                self.ask(now, &target, want, out);
+                self.request_allotment(now, &target, want, out);
             }
         }
         self.policies.sequence.sort(now, &mut needs);
         needs
     }
 
-    /// Returns the next replica of a model if one is missing, and how many are
-    /// wanted in all.
-    pub(crate) fn need(
+    /// Returns the next missing replica of a model and the total number wanted,
+    /// or `None` if no replica is missing.
+    pub(crate) fn missing_replica(
         &self,
         now: Time,
         target: &Target,
-        wanted: &Wanted,
+        wanted: &ModelDemand,
     ) -> Option<(LoadNeed, u32)> {
         let model = self.model(target)?;
         let held = self.replicas(target);
-        let (serving, loading) = self.elsewhere(target);
-        let is_extra = held + serving + loading > 0;
+        let (serving, loading) = self.remote_replicas(target);
+        let is_additional = held + serving + loading > 0;
         let loading = if wanted.is_urgent(now) { 0 } else { loading };
-        let want = self.want(now, target, wanted).min(model.replicas);
+        let want = self
+            .wanted_replicas(now, target, wanted)
+            .min(model.replicas);
         let want = want.saturating_sub(serving + loading);
         if held >= want {
             return None;
@@ -67,19 +69,20 @@
             since: wanted.since,
             deadline: wanted.deadline(now),
             estimate: self.best_estimate(target, model.memory),
-            is_live: wanted.is_live(now),
-            is_extra,
+            has_waiting: wanted.has_waiting(now),
+            is_additional,
             shares: wanted.shares(now),
         };
         Some((need, want))
     }
 
-    /// Returns how many replicas are wanted, those that cannot serve included.
-    fn want(&self, now: Time, target: &Target, wanted: &Wanted) -> u32 {
+    /// Returns the total number of replicas wanted, including those that cannot
+    /// serve.
+    fn wanted_replicas(&self, now: Time, target: &Target, wanted: &ModelDemand) -> u32 {
         let holders = holders(&self.runners, &self.orders, target);
         let is_idle = |name: &&&Name| {
             let runner = self.runners.get(**name);
-            runner.is_none_or(|r| !r.is_usable()) || self.is_given_up(name, target)
+            runner.is_none_or(|r| !r.is_usable()) || self.has_late_load(name, target)
         };
         let idle = holders.iter().filter(is_idle).count();
         let is_serving = |name: &&&Name| {
@@ -89,7 +92,7 @@
         let serving = holders.iter().filter(is_serving).count();
         let loading = holders.len().saturating_sub(idle + serving);
         let mut demand = wanted.sum(now);
-        let (serving_there, loading_there) = self.elsewhere(target);
+        let (serving_there, loading_there) = self.remote_replicas(target);
         let loading_there = if wanted.is_urgent(now) {
             0
         } else {
@@ -101,13 +104,13 @@
         let slots = slots.map(|r| r.state.slots).min();
         demand.slots = slots.unwrap_or(DEFAULT_SLOTS);
         let memory = self.model(target).map_or(0, |m| m.memory);
-        demand.ready = self.best_estimate(target, memory);
-        demand.left = wanted.deadline(now).since(now);
+        demand.load_time = self.best_estimate(target, memory);
+        demand.time_left = wanted.deadline(now).since(now);
         let idle = u32::try_from(idle).unwrap_or(u32::MAX);
         self.policies.replicas.count(&demand).saturating_add(idle)
     }
 
-    pub(crate) fn is_given_up(&self, upstream: &Name, target: &Target) -> bool {
+    pub(crate) fn has_late_load(&self, upstream: &Name, target: &Target) -> bool {
         let mut orders = self.orders.iter().filter(|o| o.is_load());
         orders.any(|o| o.is_late && o.upstream == *upstream && o.target == *target)
     }
--- a/crates/sequoiawing_policy/src/place/replicas.rs
+++ b/crates/sequoiawing_policy/src/place/replicas.rs
@@ -1,69 +1,70 @@
 use std::time::Duration;
 
-/// What all routers of a data centre together want of a model.
+/// The combined demand of a data centre's routers for a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaDemand {
-    /// The routers whose callers wait.
+    /// The number of routers with waiting requests.
     pub routers: u32,
-    /// The waiting requests.
+    /// The number of waiting requests.
     pub waiting: u32,
-    /// The tokens that they ask for.
+    /// The tokens that the waiting requests ask for.
     pub tokens: u64,
-    /// The tokens a second that one running request gets; zero when unknown.
-    pub pace: u32,
-    /// The requests that one replica runs at once.
+    /// The tokens per second of one running request, or zero if unknown.
+    pub token_rate: u32,
+    /// The concurrent requests of one replica.
     pub slots: u32,
-    /// The replicas that serve.
+    /// The serving replicas.
     pub serving: u32,
-    /// The replicas that are being loaded.
+    /// The loading replicas.
     pub loading: u32,
     /// The time until the earliest deadline.
-    pub left: Duration,
-    /// The time until one more replica is ready.
-    pub ready: Duration,
+    pub time_left: Duration,
+    /// The time until an additional replica is ready.
+    pub load_time: Duration,
 }
 
-/// Decides how many replicas of a model the demand is worth.
+/// Chooses the number of replicas of a model for a demand.
 pub trait CountReplicas: Send {
-    /// Returns the replicas in all; the placer keeps them within the maximum.
+    /// Returns the total number of replicas. The placer limits it to the
+    /// maximum.
     fn count(&self, demand: &ReplicaDemand) -> u32;
 }
 
-/// Loads one replica for each router that asks.
+/// Wants one replica for each router with waiting requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OnePerQueue;
+pub struct OnePerRouter;
 
-impl CountReplicas for OnePerQueue {
+impl CountReplicas for OnePerRouter {
     fn count(&self, demand: &ReplicaDemand) -> u32 {
         demand.routers.max(1)
     }
 }
 
-/// Loads as many replicas as it takes to start all waiting requests before the
+/// Wants as many replicas as it takes to start all waiting requests before the
 /// earliest deadline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenDemand;
 
-/// The tokens a second of a running request before any was seen.
-const DEFAULT_PACE: u32 = 50;
+/// The tokens per second assumed for a running request until a rate is known.
+const DEFAULT_TOKEN_RATE: u32 = 50;
 
-/// The time between a replica's being ready and the deadline that is counted on
-/// at least, so that a near deadline does not call for a replica per request.
-const SHORTEST_SLACK: Duration = Duration::from_millis(500);
+/// The minimum time to generate tokens that is assumed, so that a near deadline
+/// does not call for one replica per request.
+const MIN_SLACK: Duration = Duration::from_millis(500);
 
-/// The time that is counted on at most.
-const LONGEST_SLACK: Duration = Duration::from_mins(10);
+/// The maximum time to generate tokens that is assumed.
+const MAX_SLACK: Duration = Duration::from_mins(10);
 
 impl TokenDemand {
-    /// Returns the tokens that one replica generates in a time.
+    /// Returns the tokens that one replica generates within `span`.
     fn generated(demand: &ReplicaDemand, span: Duration) -> u64 {
-        let pace = match demand.pace {
-            0 => DEFAULT_PACE,
-            pace => pace,
+        let token_rate = match demand.token_rate {
+            0 => DEFAULT_TOKEN_RATE,
+            token_rate => token_rate,
         };
-        let span = span.max(SHORTEST_SLACK).min(LONGEST_SLACK).as_millis();
+        let span = span.max(MIN_SLACK).min(MAX_SLACK).as_millis();
         let span = u64::try_from(span).unwrap_or(u64::MAX);
-        u64::from(demand.slots.max(1)) * u64::from(pace) * span / 1_000
+        u64::from(demand.slots.max(1)) * u64::from(token_rate) * span / 1_000
     }
 }
 
@@ -74,13 +75,17 @@
             return present.max(1);
         }
         let mean = demand.tokens / u64::from(demand.waiting);
-        let begun = u64::from(demand.slots.max(1)) * mean;
-        // A serving replica is full, or nobody would wait; a new one takes a
-        // request for each slot at once.
-        let served = Self::generated(demand, demand.left);
-        let fresh = begun + Self::generated(demand, demand.left.saturating_sub(demand.ready));
-        let covered = u64::from(demand.serving) * served + u64::from(demand.loading) * fresh;
-        let more = demand.tokens.saturating_sub(covered).div_ceil(fresh.max(1));
+        let first_batch = u64::from(demand.slots.max(1)) * mean;
+        // Serving replicas are full, since requests are waiting. A new one
+        // starts a request in each slot at once.
+        let by_serving = Self::generated(demand, demand.time_left);
+        let by_new = first_batch
+            + Self::generated(demand, demand.time_left.saturating_sub(demand.load_time));
+        let covered = u64::from(demand.serving) * by_serving + u64::from(demand.loading) * by_new;
+        let more = demand
+            .tokens
+            .saturating_sub(covered)
+            .div_ceil(by_new.max(1));
         let more = u32::try_from(more).unwrap_or(u32::MAX);
         present.saturating_add(more).max(1)
     }
--- a/crates/sequoiawing_policy/src/place/runner.rs
+++ b/crates/sequoiawing_policy/src/place/runner.rs
@@ -1,6 +1,6 @@
 use crate::{
-    Leading,
-    place::{orders::Orders, targets::Target},
+    Leadership,
+    place::{allotments::Target, pending_orders::PendingOrders},
 };
 use sequoiawing_fleet::UpstreamState;
 use sequoiawing_tables::Pool;
@@ -11,52 +11,55 @@
     time::Duration,
 };
 
-/// How long a model that failed to load is not loaded on the same upstream;
-/// doubled with each further failure.
-const AVOID_SPAN: Duration = Duration::from_secs(10);
+/// The back-off before a model that failed to load is loaded again on the same
+/// upstream. It doubles with each further failure.
+const BASE_BACKOFF: Duration = Duration::from_secs(10);
 
-/// The most doublings of that span.
-const MAX_AVOID_POWER: u32 = 5;
+/// The maximum number of doublings of the back-off.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// A model that an upstream failed to load.
+/// The load failures of one model on an upstream.
 #[derive(Clone, Copy, Debug, Default)]
 struct Failure {
     count: u32,
     until: Time,
 }
 
-/// One replica on an upstream.
+/// A loaded replica on an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Replica {
-    /// When it was first seen loaded.
-    pub(crate) since: Time,
-    /// When it was last seen in use, or else loaded.
-    pub(crate) used: Time,
-    /// Whether it has been used at all.
-    pub(crate) is_proven: bool,
+    /// When the replica was first announced as loaded.
+    pub(crate) loaded_at: Time,
+    /// When the replica was last announced as in use, initially as loaded.
+    pub(crate) last_used: Time,
+    /// Whether the replica has ever been in use.
+    pub(crate) was_used: bool,
 }
 
-/// One upstream that loads models, as a placer sees it.
+/// The placer's view of one upstream that loads models.
 #[derive(Clone, Debug)]
 pub(crate) struct Runner {
     pub(crate) state: Arc<UpstreamState>,
-    /// When its newest announcement came.
+    /// When the latest announcement arrived.
     pub(crate) seen: Time,
-    /// Since when its announcements have run out.
+    /// When its announcements expired.
     pub(crate) gone: Option<Time>,
-    /// The version of its announcement when this leader began to lead.
-    before: Option<(u64, u64)>,
+    /// The version of its announcement at the start of this leadership.
+    initial_version: Option<(u64, u64)>,
     pub(crate) replicas: BTreeMap<Name, Replica>,
-    /// The memory that was reserved for each model, in MiB.
+    /// The memory allocated to each model, in MiB.
     sizes: BTreeMap<Name, u64>,
-    /// The memory that is kept for models to come while others are unloaded.
-    pub(crate) promised: BTreeMap<Name, u64>,
+    /// The memory reserved for incoming models while others are evicted, in
+    /// MiB.
+    pub(crate) reservations: BTreeMap<Name, u64>,
     failures: BTreeMap<Name, Failure>,
-    /// When it first announced itself, or again after a silence.
-    pub(crate) steady: Time,
-    /// Until when orders from before a silence may still reach it.
-    resting: Time,
-    /// When it was last sent the leader's fencing number.
+    /// When it first announced itself, or last resumed after a gap in its
+    /// announcements.
+    pub(crate) stable_since: Time,
+    /// The time until which orders sent before a gap in its announcements may
+    /// still arrive.
+    blocked_until: Time,
+    /// When the leader's fencing number was last sent to it.
     pub(crate) fenced: Option<Time>,
 }
 
@@ -66,94 +69,98 @@
             state: Arc::default(),
             seen: now,
             gone: None,
-            before: None,
+            initial_version: None,
             replicas: BTreeMap::new(),
             sizes: BTreeMap::new(),
-            promised: BTreeMap::new(),
+            reservations: BTreeMap::new(),
             failures: BTreeMap::new(),
-            steady: now,
-            resting: Time::ZERO,
+            stable_since: now,
+            blocked_until: Time::ZERO,
             fenced: None,
         };
         runner.announce(now, state);
         runner
     }
 
-    /// Takes in a newer announcement.
+    /// Applies a newer announcement.
     pub(crate) fn announce(&mut self, now: Time, state: Arc<UpstreamState>) {
         if state.epoch != self.state.epoch {
             self.replicas.clear();
             self.sizes.clear();
-            self.promised.clear();
+            self.reservations.clear();
             self.failures.clear();
         }
         self.replicas.retain(|model, _| state.has_model(model));
         for model in &state.loaded {
             let replica = self.replicas.entry(model.clone()).or_insert(Replica {
-                since: now,
-                used: now,
-                is_proven: false,
+                loaded_at: now,
+                last_used: now,
+                was_used: false,
             });
             if state.active.contains(model) {
-                replica.used = now;
-                replica.is_proven = true;
+                replica.last_used = now;
+                replica.was_used = true;
             }
         }
         if self.gone.take().is_some() {
-            self.steady = now;
+            self.stable_since = now;
         }
         self.seen = now;
         self.state = state;
     }
 
-    /// Forgets what an earlier leader's orders may have changed.
-    pub(crate) fn lead(&mut self) {
-        self.before = Some(self.state.version());
-        self.promised.clear();
+    /// Discards the state that an earlier leader's orders may have changed.
+    pub(crate) fn begin_term(&mut self) {
+        self.initial_version = Some(self.state.version());
+        self.reservations.clear();
         self.fenced = None;
     }
 
-    /// Reports whether the announcement shows all that an earlier leader's
-    /// orders did and will do.
-    pub(crate) fn is_synced(&self, now: Time, leading: &Leading, since: Time) -> bool {
-        let is_fresh = self.before.is_none_or(|b| self.state.version() > b);
-        if self.state.fenced && is_fresh && self.state.fence >= leading.term {
+    /// Returns whether the announcement reflects all past and future effects of
+    /// an earlier leader's orders.
+    pub(crate) fn is_synced(&self, now: Time, leadership: &Leadership, since: Time) -> bool {
+        let is_fresh = self
+            .initial_version
+            .is_none_or(|b| self.state.version() > b);
+        if self.state.fenced && is_fresh && self.state.fence >= leadership.term {
             return true;
         }
-        let quiet = since + leading.quiet;
-        let waited = now >= quiet;
-        let heard = self.seen >= quiet || self.gone.is_some();
+        let grace_end = since + leadership.order_grace;
+        let waited = now >= grace_end;
+        let heard = self.seen >= grace_end || self.gone.is_some();
         waited && heard && (is_fresh || self.gone.is_some())
     }
 
-    /// Keeps new models away until orders from before a silence have run out.
-    pub(crate) fn rest_until(&mut self, at: Time) {
-        self.resting = at;
+    /// Blocks new loads until orders sent before a gap in its announcements
+    /// have expired.
+    pub(crate) fn block_until(&mut self, at: Time) {
+        self.blocked_until = at;
     }
 
-    /// Reports whether no order from before a silence may still reach it.
-    pub(crate) fn is_steady(&self, now: Time) -> bool {
-        self.resting <= now
+    /// Returns whether no order sent before a gap in its announcements can
+    /// still arrive.
+    pub(crate) fn accepts_loads(&self, now: Time) -> bool {
+        self.blocked_until <= now
     }
 
-    /// Reports whether it may be given something new.
+    /// Returns whether the upstream may be given new work.
     pub(crate) fn is_usable(&self) -> bool {
         self.gone.is_none() && !self.state.leaving
     }
 
-    /// Reports whether it holds or will hold the model, as far as it reports.
+    /// Returns whether the upstream announced the model as loaded or loading.
     pub(crate) fn holds(&self, model: &Name) -> bool {
         self.state.has_model(model) || self.state.is_loading(model)
     }
 
-    /// Notes how much memory was reserved for a model.
-    pub(crate) fn reserve(&mut self, model: &Name, memory: u64) {
-        self.promised.remove(model);
+    /// Allocates memory to a model and removes its reservation.
+    pub(crate) fn allocate(&mut self, model: &Name, memory: u64) {
+        self.reservations.remove(model);
         self.sizes.insert(model.clone(), memory);
     }
 
-    /// Returns the memory of a model: what was reserved, or else what the
-    /// tables say, or else all.
+    /// Returns the memory of a model, in MiB: the allocated amount, otherwise
+    /// the amount in the tables, otherwise the whole memory of the upstream.
     fn size(&self, pool: Option<&Pool>, model: &Name) -> u64 {
         let known = self.sizes.get(model).copied();
         let table = pool.and_then(|p| p.model(model.as_str()));
@@ -162,36 +169,36 @@
             .unwrap_or(self.state.memory)
     }
 
-    /// Returns the memory that nothing has, will have or is promised, apart
-    /// from what is promised to `model`.
-    /// It is negative while more is promised than is free yet.
-    pub(crate) fn free(&self, pool: Option<&Pool>, orders: &Orders, model: &Name) -> i64 {
+    /// Returns the memory that is neither allocated nor reserved, not counting
+    /// a reservation for `model`, in MiB. The result is negative while
+    /// reservations exceed the free memory.
+    pub(crate) fn free(&self, pool: Option<&Pool>, orders: &PendingOrders, model: &Name) -> i64 {
         let is_model = |name: &&Name| !name.as_str().contains(':');
         let loading = self.state.loading.iter().filter(is_model);
         let reported = self.state.loaded.iter().chain(loading);
         let ordered = orders.loads_on(&self.state.name);
         let held: BTreeSet<&Name> = reported.chain(ordered).collect();
         let held: u64 = held.into_iter().map(|m| self.size(pool, m)).sum();
-        let promised = self.promised.iter().filter(|(name, _)| *name != model);
-        let promised: u64 = promised.map(|(_, memory)| memory).sum();
+        let reservations = self.reservations.iter().filter(|(name, _)| *name != model);
+        let reservations: u64 = reservations.map(|(_, memory)| memory).sum();
         let size = |mib: u64| i64::try_from(mib).unwrap_or(i64::MAX);
-        size(self.state.memory) - size(held.saturating_add(promised))
+        size(self.state.memory) - size(held.saturating_add(reservations))
     }
 
-    /// Notes that a load of the model failed.
-    pub(crate) fn fail(&mut self, now: Time, model: &Name) {
+    /// Records a failed load of the model and extends its back-off.
+    pub(crate) fn record_failure(&mut self, now: Time, model: &Name) {
         let failure = self.failures.entry(model.clone()).or_default();
-        let power = failure.count.min(MAX_AVOID_POWER);
+        let doublings = failure.count.min(MAX_BACKOFF_DOUBLINGS);
         failure.count += 1;
-        failure.until = now + AVOID_SPAN * 2_u32.pow(power);
+        failure.until = now + BASE_BACKOFF * 2_u32.pow(doublings);
     }
 
-    pub(crate) fn succeed(&mut self, model: &Name) {
+    pub(crate) fn clear_failures(&mut self, model: &Name) {
         self.failures.remove(model);
     }
 
-    /// Reports whether a load of the model failed a short while ago.
-    pub(crate) fn avoids(&self, now: Time, model: &Name) -> bool {
+    /// Returns whether the model is in back-off after a failed load.
+    pub(crate) fn is_backing_off(&self, now: Time, model: &Name) -> bool {
         self.failures.get(model).is_some_and(|f| f.until > now)
     }
 
@@ -200,13 +207,14 @@
     }
 }
 
-/// The upstreams of one data centre that load models.
+/// The upstreams of one data centre that load models, by name.
 pub(crate) type Runners = BTreeMap<Name, Runner>;
 
-/// Returns the upstreams that hold, load or were ordered to load the model.
+/// Returns the upstreams that hold the model, are loading it or were ordered to
+/// load it.
 pub(crate) fn holders<'a>(
     runners: &'a Runners,
-    orders: &'a Orders,
+    orders: &'a PendingOrders,
     target: &'a Target,
 ) -> BTreeSet<&'a Name> {
     let reported = runners.values();
--- a/crates/sequoiawing_policy/src/place/sequence.rs
+++ b/crates/sequoiawing_policy/src/place/sequence.rs
@@ -2,22 +2,22 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Decides in which order the wanted replicas are loaded.
+/// Chooses the order in which replicas are loaded.
 ///
 /// See [docs/design/cold-start.md](../../../docs/design/cold-start.md).
 pub trait SequenceLoads: Send {
-    /// Puts the needs in order, the first to be loaded first.
+    /// Sorts the needs so that the first is loaded first.
     fn sort(&self, now: Time, needs: &mut Vec<LoadNeed>);
 
-    /// Learns that a load was ordered.
+    /// Records that a load was ordered.
     fn started(&mut self, need: &LoadNeed);
 }
 
-/// Loads in the order in which the models were first asked for.
+/// Loads models in the order of their first request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstAsked;
+pub struct OldestFirst;
 
-impl SequenceLoads for FirstAsked {
+impl SequenceLoads for OldestFirst {
     fn sort(&self, _now: Time, needs: &mut Vec<LoadNeed>) {
         needs.sort_by_key(|n| n.since);
     }
@@ -25,72 +25,82 @@
     fn started(&mut self, _need: &LoadNeed) {}
 }
 
-/// Loads for the customer that had the least of the loading so far, and within
-/// a customer by the earliest deadline.
+/// Loads first for the customer with the lowest weighted load time so far, and
+/// by earliest deadline within a customer.
 ///
-/// What can no longer help anyone who waits comes last.
+/// Loads that cannot meet the deadline of any waiting request come last.
 #[derive(Clone, Debug, Default)]
 pub struct FairDeadline {
-    now: f64,
-    clocks: BTreeMap<Name, f64>,
+    virtual_now: f64,
+    virtual_times: BTreeMap<Name, f64>,
 }
 
 impl FairDeadline {
-    fn clock(&self, clocks: &BTreeMap<Name, f64>, customer: &Name) -> f64 {
-        clocks.get(customer).map_or(self.now, |c| c.max(self.now))
+    fn virtual_time(&self, virtual_times: &BTreeMap<Name, f64>, customer: &Name) -> f64 {
+        virtual_times
+            .get(customer)
+            .map_or(self.virtual_now, |c| c.max(self.virtual_now))
     }
 
-    /// Returns the clock of the customer of the need that is furthest behind.
-    fn rank(&self, clocks: &BTreeMap<Name, f64>, need: &LoadNeed) -> f64 {
-        let ranks = need.shares.iter().map(|s| self.clock(clocks, &s.customer));
+    /// Returns the lowest virtual time among the need's customers.
+    fn rank(&self, virtual_times: &BTreeMap<Name, f64>, need: &LoadNeed) -> f64 {
+        let ranks = need
+            .shares
+            .iter()
+            .map(|s| self.virtual_time(virtual_times, &s.customer));
         ranks.reduce(f64::min).unwrap_or(f64::MAX)
     }
 
-    /// Charges the load to those who wait, by their tokens.
-    fn charge(&self, clocks: &mut BTreeMap<Name, f64>, need: &LoadNeed) {
+    /// Charges the load to the waiting customers in proportion to their tokens.
+    fn charge(&self, virtual_times: &mut BTreeMap<Name, f64>, need: &LoadNeed) {
         let total: u64 = need.shares.iter().map(|s| s.tokens.max(1)).sum();
         for share in &need.shares {
             #[expect(clippy::cast_precision_loss, reason = "a share needs no exact count")]
             let part = share.tokens.max(1) as f64 / total.max(1) as f64;
             let cost = need.estimate.max(Duration::from_millis(1)).as_secs_f64();
             let cost = cost * part / f64::from(share.weight.max(1));
-            let clock = self.clock(clocks, &share.customer);
-            clocks.insert(share.customer.clone(), clock + cost);
+            let virtual_time = self.virtual_time(virtual_times, &share.customer);
+            virtual_times.insert(share.customer.clone(), virtual_time + cost);
         }
     }
 }
 
 impl SequenceLoads for FairDeadline {
     fn sort(&self, now: Time, needs: &mut Vec<LoadNeed>) {
-        let mut left = std::mem::take(needs);
-        left.sort_by_key(|n| (n.is_hopeless(now), n.is_extra, n.deadline, n.since));
-        let mut clocks = self.clocks.clone();
-        while !left.is_empty() {
-            let key = |n: &LoadNeed| ((n.is_hopeless(now), n.is_extra), self.rank(&clocks, n));
+        let mut remaining = std::mem::take(needs);
+        remaining.sort_by_key(|n| (n.misses_deadline(now), n.is_additional, n.deadline, n.since));
+        let mut virtual_times = self.virtual_times.clone();
+        while !remaining.is_empty() {
+            let key = |n: &LoadNeed| {
+                (
+                    (n.misses_deadline(now), n.is_additional),
+                    self.rank(&virtual_times, n),
+                )
+            };
             let better = |a: &((bool, bool), f64), b: &((bool, bool), f64)| {
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).is_lt()
             };
             let mut best = 0;
-            for i in 1..left.len() {
-                if better(&key(&left[i]), &key(&left[best])) {
+            for i in 1..remaining.len() {
+                if better(&key(&remaining[i]), &key(&remaining[best])) {
                     best = i;
                 }
             }
-            let need = left.remove(best);
-            self.charge(&mut clocks, &need);
+            let need = remaining.remove(best);
+            self.charge(&mut virtual_times, &need);
             needs.push(need);
         }
     }
 
     fn started(&mut self, need: &LoadNeed) {
-        let rank = self.rank(&self.clocks, need);
+        let rank = self.rank(&self.virtual_times, need);
         if rank < f64::MAX {
-            self.now = self.now.max(rank);
+            self.virtual_now = self.virtual_now.max(rank);
         }
-        let mut clocks = std::mem::take(&mut self.clocks);
-        self.charge(&mut clocks, need);
-        let now = self.now;
-        clocks.retain(|_, clock| *clock > now);
-        self.clocks = clocks;
+        let mut virtual_times = std::mem::take(&mut self.virtual_times);
+        self.charge(&mut virtual_times, need);
+        let now = self.virtual_now;
+        virtual_times.retain(|_, virtual_time| *virtual_time > now);
+        self.virtual_times = virtual_times;
     }
 }
--- a/crates/sequoiawing_policy/src/place/settings.rs
+++ b/crates/sequoiawing_policy/src/place/settings.rs
@@ -1,37 +1,39 @@
 use sequoiawing_types::Name;
 use std::time::Duration;
 
-/// The bounds of a placer.
+/// The limits and time-outs of a placer.
 #[derive(Clone, Debug)]
 pub struct PlaceSettings {
-    /// The data centre. Upstreams elsewhere are only looked at.
+    /// The data centre that this placer manages. It only observes upstreams in
+    /// others.
     pub centre: Name,
-    /// How long a load of 4,096 MiB from the weight store is expected
-    /// to take before one was seen.
+    /// The assumed time of a load of 4,096 MiB from the weight store, used
+    /// until one has been observed.
     pub load_time: Duration,
-    /// How long an order may arrive at its upstream after it was sent.
+    /// How long after it was sent an order is still accepted by its upstream.
     pub order_lifetime: Duration,
-    /// After how long an order without an answer is sent again.
-    pub resend: Duration,
-    /// How long after its last announcement a vanished upstream is presumed
-    /// dead; until then its replicas count.
-    pub presumed_dead: Duration,
-    /// How long a model stays loaded at least before it may be evicted.
-    pub shortest_stay: Duration,
-    /// How long a demand counts after it was last repeated.
+    /// The time after which an unanswered order is sent again.
+    pub resend_after: Duration,
+    /// The time after its last announcement when a missing upstream is presumed
+    /// dead. Until then its replicas count.
+    pub dead_after: Duration,
+    /// The minimum time that a model stays loaded before it may be evicted.
+    pub min_residency: Duration,
+    /// How long a demand remains valid after it was last repeated.
     pub demand_lifetime: Duration,
-    /// The data centre's share of the loads that the weight store serves at
-    /// full speed at once.
+    /// The data centre's share of the concurrent loads that the weight store
+    /// serves at full speed.
     pub load_slots: u32,
-    /// The loads that the weight store serves at full speed at once, for all
+    /// The concurrent loads that the weight store serves at full speed, for all
     /// data centres.
     pub store_slots: u32,
-    /// The data centre's share of the loads a second that the store allows.
-    pub load_starts: f64,
-    /// The data centre's share of the adapter loads in flight.
+    /// The data centre's share of the load starts that the store allows, per
+    /// second.
+    pub load_rate: f64,
+    /// The data centre's share of the concurrent adapter loads.
     pub adapter_slots: u32,
-    /// The adapters that one upstream keeps loaded.
-    pub upstream_adapters: usize,
+    /// The maximum number of adapters that one upstream keeps loaded.
+    pub max_adapters: usize,
 }
 
 /// The size of a model whose load takes [`PlaceSettings::load_time`], in MiB.
@@ -43,15 +45,15 @@
             centre: Name::default(),
             load_time: Duration::from_secs(3),
             order_lifetime: Duration::from_secs(5),
-            resend: Duration::from_secs(1),
-            presumed_dead: Duration::from_secs(10),
-            shortest_stay: Duration::from_secs(3),
+            resend_after: Duration::from_secs(1),
+            dead_after: Duration::from_secs(10),
+            min_residency: Duration::from_secs(3),
             demand_lifetime: Duration::from_secs(1),
             load_slots: 2,
             store_slots: 4,
-            load_starts: 2.5,
+            load_rate: 2.5,
             adapter_slots: 10,
-            upstream_adapters: 256,
+            max_adapters: 256,
         }
     }
 }
--- a/crates/sequoiawing_policy/src/place/store_use.rs
+++ b/crates/sequoiawing_policy/src/place/store_usage.rs
@@ -1,39 +1,41 @@
-use crate::{Checkpoint, Placer, place::runner::Runner};
+use crate::{CheckpointLocation, Placer, place::runner::Runner};
 use sequoiawing_types::{Name, Time};
 
-/// What a data centre uses of the fleet's load budgets.
+/// A data centre's use of the fleet's load budgets.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct StoreUse {
-    /// The loads from the weight store that the leader counts.
+pub struct StoreUsage {
+    /// The leader's pending loads from the weight store.
     pub loads: u32,
-    /// Loads that run besides, ordered by an earlier leader or on an upstream
-    /// that fell silent.
+    /// Other running loads from the weight store, ordered by an earlier leader
+    /// or on an upstream whose announcements expired.
     pub other_loads: u32,
-    /// The adapter loads that the leader counts.
+    /// The leader's pending adapter loads.
     pub adapters: u32,
-    /// Adapter loads that run besides.
+    /// Other running adapter loads.
     pub other_adapters: u32,
-    /// The granted starts that were not used yet.
+    /// The granted load starts that are still unused.
     pub starts: u32,
 }
 
 impl Placer {
-    /// Reports whether all that earlier leaders ordered is known.
-    pub fn is_informed(&self, now: Time) -> bool {
+    /// Returns whether the effects of all orders of earlier leaders are known.
+    pub fn is_synced(&self, now: Time) -> bool {
         let mut pools = self.runners.values().map(|r| &r.state.pool);
-        let is_clear = self.leading.is_some_and(|l| now >= self.since + l.blind);
-        is_clear && pools.all(|p| self.is_settled(now, p))
+        let is_clear = self
+            .leadership
+            .is_some_and(|l| now >= self.led_since + l.discovery_wait);
+        is_clear && pools.all(|p| self.is_pool_synced(now, p))
     }
 
-    /// Returns what the data centre uses of the fleet's load budgets.
-    pub fn store_use(&self) -> StoreUse {
+    /// Returns the data centre's use of the fleet's load budgets.
+    pub fn store_usage(&self) -> StoreUsage {
         let silent = self.orders.iter().filter(|o| {
-            let is_remote = o.is_load() && o.checkpoint == Checkpoint::Remote;
+            let is_remote = o.is_load() && o.checkpoint == CheckpointLocation::Remote;
             let runner = self.runners.get(&o.upstream);
             is_remote && runner.is_none_or(|r| r.gone.is_some())
         });
         let adapters = self.orders.iter().filter(|o| o.is_adapter_load());
-        StoreUse {
+        StoreUsage {
             loads: self.store_loads(),
             other_loads: count(silent.count()) + self.others(|n| !is_adapter(n)),
             adapters: count(adapters.count()),
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Counts what upstreams report as loading and this leader did not order.
+    /// Counts the loads that upstreams report and this leader did not order.
     fn others<F>(&self, is_counted: F) -> u32
     where
         F: Fn(&Name) -> bool,
@@ -66,7 +68,7 @@
     }
 }
 
-/// Adapters are named `model:adapter`.
+/// Returns whether the name is that of an adapter, `model:adapter`.
 fn is_adapter(name: &Name) -> bool {
     name.as_str().contains(':')
 }
--- a/crates/sequoiawing_policy/src/place/unload.rs
+++ b/crates/sequoiawing_policy/src/place/unload.rs
@@ -1,19 +1,19 @@
-//! How a placer unloads what is idle or too much.
+//! Unloads idle and surplus replicas.
 
 use crate::{
     PlaceAction, Placer,
-    place::{runner::Replica, targets::Target},
+    place::{allotments::Target, runner::Replica},
 };
 use sequoiawing_fleet::OrderKind;
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
 impl Placer {
-    /// Unloads replicas beyond the decided number, such as one whose upstream
-    /// was presumed dead, once they run nothing.
+    /// Unloads idle replicas beyond the allotment, such as one on an upstream
+    /// that was presumed dead and returned.
     pub(crate) fn unload_surplus(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        for target in self.decisions.targets() {
-            let Some(decided) = self.decisions.known(&target) else {
+        for target in self.allotments.targets() {
+            let Some(decided) = self.allotments.known(&target) else {
                 continue;
             };
             if self.replicas(&target) <= decided {
@@ -22,20 +22,20 @@
             let runners = self.runners.values();
             let alive = runners.filter(|r| r.gone.is_none() && r.state.pool == target.0);
             let idle = alive.filter(|r| !r.state.active.contains(&target.1));
-            let idle = idle.filter_map(|r| Some((r.replicas.get(&target.1)?.used, r)));
+            let idle = idle.filter_map(|r| Some((r.replicas.get(&target.1)?.last_used, r)));
             let idle = idle.filter(|(_, r)| !self.orders.has(&r.state.name, &target));
             let first = idle.min_by_key(|(used, _)| *used);
             let is_unloading = |name: &Name| {
                 let mut orders = self.orders.iter();
                 orders.any(|o| o.upstream == *name && o.target == target && o.is_unload())
             };
-            let going = self
+            let unloading = self
                 .runners
                 .keys()
                 .filter(|name| is_unloading(name))
                 .count();
-            let going = u32::try_from(going).unwrap_or(u32::MAX);
-            if self.replicas(&target).saturating_sub(going) <= decided {
+            let unloading = u32::try_from(unloading).unwrap_or(u32::MAX);
+            if self.replicas(&target).saturating_sub(unloading) <= decided {
                 continue;
             }
             let first = first.map(|(_, r)| r.state.name.clone());
@@ -45,8 +45,7 @@
         }
     }
 
-    /// Unloads each replica that has not been used for as long as it is worth
-    /// keeping.
+    /// Unloads each replica that has been idle for its keep-alive time.
     pub(crate) fn unload_idle(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
         let mut idle: Vec<(Name, Target)> = Vec::new();
         for (name, runner) in &self.runners {
@@ -56,7 +55,8 @@
             for (model, replica) in &runner.replicas {
                 let target = (runner.state.pool.clone(), model.clone());
                 let is_busy = runner.state.active.contains(model);
-                let is_wanted = self.book.is_live(now, &target) || self.held.contains_key(&target);
+                let is_wanted =
+                    self.demands.has_waiting(now, &target) || self.pinned.contains_key(&target);
                 let is_ordered = self.orders.has(name, &target);
                 if !is_busy && !is_wanted && !is_ordered && self.is_idle(now, &target, *replica) {
                     idle.push((name.clone(), target));
@@ -73,13 +73,13 @@
             return true;
         }
         let operator = self.pools.get(&target.0).map_or(0, |p| p.idle);
-        let learned = self.policies.idle.span(&target.1);
+        let learned = self.policies.keep_alive.keep_time(&target.1);
         let span = match operator {
             0 => learned,
             seconds => learned.min(Duration::from_secs(seconds)),
         };
-        let span = span.max(self.settings.shortest_stay);
-        now.since(replica.used) >= span
+        let span = span.max(self.settings.min_residency);
+        now.since(replica.last_used) >= span
     }
 
     fn unload(&mut self, now: Time, upstream: &Name, target: &Target, out: &mut Vec<PlaceAction>) {
@@ -87,11 +87,11 @@
         self.send(now, upstream, target, OrderKind::Unload { model }, out);
     }
 
-    /// Unloads idle adapters of one upstream, each tick of the next one.
+    /// Unloads idle adapters of one upstream per tick, in rotation.
     pub(crate) fn unload_idle_adapters(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        self.adapter_turn = self.adapter_turn.wrapping_add(1);
-        let turn = self.adapter_turn % self.runners.len().max(1);
-        let Some(runner) = self.runners.values().nth(turn) else {
+        self.adapter_cursor = self.adapter_cursor.wrapping_add(1);
+        let cursor = self.adapter_cursor % self.runners.len().max(1);
+        let Some(runner) = self.runners.values().nth(cursor) else {
             return;
         };
         if runner.gone.is_some() {
@@ -104,13 +104,17 @@
             .iter()
             .filter(|a| !is_busy(a))
             .map(|a| {
-                let unused = self.policies.idle.unused(now, a);
-                (unused, a.clone(), unused >= self.policies.idle.span(a))
+                let unused = self.policies.keep_alive.idle_time(now, a);
+                (
+                    unused,
+                    a.clone(),
+                    unused >= self.policies.keep_alive.keep_time(a),
+                )
             })
             .collect();
         idle.sort_by_key(|(unused, _, _)| std::cmp::Reverse(*unused));
         let surplus = state.adapters.len();
-        let surplus = surplus.saturating_sub(self.settings.upstream_adapters);
+        let surplus = surplus.saturating_sub(self.settings.max_adapters);
         let chosen = idle.into_iter().enumerate();
         let chosen = chosen.filter(|(i, (_, _, is_idle))| *is_idle || *i < surplus);
         let adapters: Vec<Name> = chosen.map(|(_, (_, adapter, _))| adapter).collect();
--- a/crates/sequoiawing_policy/tests/adapters.rs
+++ b/crates/sequoiawing_policy/tests/adapters.rs
@@ -1,8 +1,10 @@
-//! What an event costs a leader that knows 75,000 adapters, most of them idle.
-//! This test has a file of its own, since it counts all allocations.
+//! Guards against event costs that grow with the number of adapters: a leader
+//! that knows 75,000 adapters, most of them idle, does no more work per event
+//! than one that knows 750. This test has a file of its own because it counts
+//! all allocations of the process.
 
 use sequoiawing_fleet::{Demand, UpstreamState};
-use sequoiawing_policy::{Leading, PlaceEvent, PlaceSettings, Placer};
+use sequoiawing_policy::{Leadership, PlaceEvent, PlaceSettings, Placer};
 use sequoiawing_tables::{Model, Pool};
 use sequoiawing_types::{Name, Time};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, Stats, StatsAlloc};
@@ -17,10 +19,10 @@
 /// The time between two ticks, in milliseconds.
 const TICK: u64 = 50;
 
-/// The demands between two ticks.
+/// The number of demands between two ticks.
 const DEMANDS: usize = 20;
 
-/// The most heap that an idle adapter may take, in bytes.
+/// The maximum heap memory of an idle adapter, in bytes.
 const MAX_BYTES: usize = 400;
 
 fn adapter(i: usize) -> (Name, Name) {
@@ -29,13 +31,13 @@
     (model, adapter)
 }
 
-/// What the events of a leader cost.
+/// The costs of a leader's events.
 struct Costs {
-    /// The heap that the leader keeps.
-    kept: usize,
+    /// The heap memory that the leader retains, in bytes.
+    retained: usize,
     /// The allocations of ten seconds of ticks.
     idle: Stats,
-    /// The allocations of as many demands as come between two ticks.
+    /// The allocations of the demands between two ticks.
     demands: Stats,
 }
 
@@ -63,9 +65,9 @@
             models: models.collect(),
             ..Pool::default()
         };
-        leader.tell(PlaceEvent::Configured { pools: vec![pool] });
-        leader.tell(PlaceEvent::Led {
-            leading: Some(Leading::default()),
+        leader.handle(PlaceEvent::Configured { pools: vec![pool] });
+        leader.handle(PlaceEvent::LeadershipChanged {
+            leadership: Some(Leadership::default()),
         });
         for i in 0..RUNNERS {
             let loaded = (0..MODELS).filter(|m| m % RUNNERS == i);
@@ -80,22 +82,22 @@
                 active: (0..MODELS).map(|m| adapter(m).0).collect(),
                 ..UpstreamState::default()
             };
-            leader.tell(PlaceEvent::Announced(state.into()));
+            leader.handle(PlaceEvent::Announced(state.into()));
         }
         leader
     }
 
-    fn tell(&mut self, event: PlaceEvent) {
+    fn handle(&mut self, event: PlaceEvent) {
         let now = Time::from_millis(self.now);
         self.placer.handle(now, event, &mut Vec::new());
     }
 
     fn tick(&mut self) {
         self.now += TICK;
-        self.tell(PlaceEvent::Tick);
+        self.handle(PlaceEvent::Tick);
     }
 
-    fn ask(&mut self, i: usize) {
+    fn send_demand(&mut self, i: usize) {
         let (model, adapter) = adapter(i);
         let demand = Demand {
             host: Name::from("entry-1"),
@@ -119,14 +121,14 @@
         if i % DEMANDS == 0 {
             leader.tick();
         }
-        leader.ask(i);
+        leader.send_demand(i);
     }
-    // What is wanted runs out, and the adapters are idle.
+    // All demands expire, so that the adapters are idle.
     for _ in 0..40 {
         leader.tick();
     }
     let change = region.change();
-    let kept = change
+    let retained = change
         .bytes_allocated
         .saturating_sub(change.bytes_deallocated);
     let region = Region::new(ALLOCATOR);
@@ -136,18 +138,19 @@
     let idle = region.change();
     let region = Region::new(ALLOCATOR);
     for i in 0..DEMANDS {
-        leader.ask(i);
+        leader.send_demand(i);
     }
     let demands = region.change();
     Costs {
-        kept,
+        retained,
         idle,
         demands,
     }
 }
 
-/// Reports whether the larger costs are at most a quarter above the smaller.
-fn is_alike(small: Stats, large: Stats) -> bool {
+/// Returns whether the larger costs exceed the smaller ones by at most a
+/// quarter.
+fn is_within_quarter(small: Stats, large: Stats) -> bool {
     let counts = large.allocations * 4 <= small.allocations * 5;
     counts && large.bytes_allocated * 4 <= small.bytes_allocated * 5
 }
@@ -157,17 +160,17 @@
     let few = measure(750);
     let many = measure(75_000);
     assert!(
-        is_alike(few.idle, many.idle),
+        is_within_quarter(few.idle, many.idle),
         "{:?} {:?}",
         few.idle,
         many.idle
     );
     assert!(
-        is_alike(few.demands, many.demands),
+        is_within_quarter(few.demands, many.demands),
         "{:?} {:?}",
         few.demands,
         many.demands
     );
-    let each = (many.kept - few.kept) / (75_000 - 750);
+    let each = (many.retained - few.retained) / (75_000 - 750);
     assert!(each <= MAX_BYTES, "{each} bytes for each adapter");
 }
--- a/crates/sequoiawing_router/src/controllers/placement.rs
+++ b/crates/sequoiawing_router/src/controllers/placement.rs
@@ -7,7 +7,9 @@
 use sequoiawing_cell::{CellEvent, ShareCount, Version};
 use sequoiawing_fleet::{Demand, Order, OrderReply, OrderState, UpstreamState};
 use sequoiawing_http::from_bytes;
-use sequoiawing_policy::{DispatchEvent, Leading, PlaceAction, PlaceEvent, PlaceSettings, Placer};
+use sequoiawing_policy::{
+    DispatchEvent, Leadership, PlaceAction, PlaceEvent, PlaceSettings, Placer,
+};
 use sequoiawing_runtime::{Shutdown, sleep, spawn, timeout};
 use sequoiawing_tables::{Command, Outcome, Tables};
 use sequoiawing_types::{Name, Time};
@@ -116,7 +118,9 @@
             self.handle(PlaceEvent::Announced(state));
         }
         let leading = self.leading();
-        self.handle(PlaceEvent::Led { leading });
+        self.handle(PlaceEvent::LeadershipChanged {
+            leadership: leading,
+        });
         self.hear_cell(leading.map_or(0, |l| l.term));
         for event in self.credits.exchange(now, &self.placer) {
             self.handle(event);
@@ -151,12 +155,12 @@
     ///
     /// An earlier lease has run out before this one began; its orders may still
     /// be on their way.
-    fn leading(&self) -> Option<Leading> {
-        self.state.lease().map(|l| Leading {
+    fn leading(&self) -> Option<Leadership> {
+        self.state.lease().map(|l| Leadership {
             term: l.term,
-            seed: self.seed,
-            quiet: PlaceSettings::default().order_lifetime,
-            blind: LISTENING.saturating_sub(self.state.now().since(Time::ZERO)),
+            order_base: self.seed,
+            order_grace: PlaceSettings::default().order_lifetime,
+            discovery_wait: LISTENING.saturating_sub(self.state.now().since(Time::ZERO)),
         })
     }
 
@@ -185,7 +189,7 @@
                 PlaceAction::Allot { pool, model, want } => self.allot(pool, model, want),
                 PlaceAction::Record { number, counts } => self.record(number, counts),
                 PlaceAction::Recall { pool, model } => self.recall(&pool, &model),
-                PlaceAction::Want { loads, adapters } => self.credits.want(loads, adapters),
+                PlaceAction::ReportDemand { loads, adapters } => self.credits.want(loads, adapters),
             }
         }
     }
--- a/crates/sequoiawing_router/src/controllers/store_credits.rs
+++ b/crates/sequoiawing_router/src/controllers/store_credits.rs
@@ -58,10 +58,10 @@
         if self.informed.is_some() && self.informed != term {
             self.informed = None;
         }
-        if term.is_some() && placer.is_informed(now) {
+        if term.is_some() && placer.is_synced(now) {
             self.informed = term;
         }
-        let used = placer.store_use();
+        let used = placer.store_usage();
         self.settle(now, used.starts);
         if self.informed.is_none() {
             return self.reset(now, 0, 0);
