--- a/crates/sequoiawing_bench/tests/shares/checker.rs
+++ b/crates/sequoiawing_bench/tests/shares/checker.rs
@@ -6,13 +6,7 @@
     fn may_hold(&self, target: &Target) -> u32 {
         let leading = self.hosts.iter().filter(|h| h.is_alive);
         let leading = leading.filter(|h| h.cell.lease(self.now).is_some());
-        let counts = leading.map(|h| {
-            h.placer
-                .allotted_replicas()
-                .get(target)
-                .copied()
-                .unwrap_or(0)
-        });
+        let counts = leading.map(|h| h.placer.allotments().get(target).copied().unwrap_or(0));
         counts.sum()
     }
 
--- a/crates/sequoiawing_bench/tests/shares/world.rs
+++ b/crates/sequoiawing_bench/tests/shares/world.rs
@@ -144,7 +144,7 @@
     /// Starts a host again without memory. The tables that its neighbours give
     /// it are those that it had.
     pub(crate) fn restart(&mut self, i: usize) {
-        let old = self.hosts[i].placer.allotted_replicas();
+        let old = self.hosts[i].placer.allotments();
         let mut fresh = self.host(i);
         fresh.tables = self.hosts[i].tables.clone();
         fresh.old = old;
--- a/crates/sequoiawing_policy/src/keep_alive/learned.rs
+++ b/crates/sequoiawing_policy/src/keep_alive/learned.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug)]
 pub struct KeepAliveSettings {
     /// The minimum time that a model stays loaded after its last use.
-    pub min: Duration,
+    pub min_time: Duration,
     /// The maximum time that a model stays loaded after its last use.
-    pub max: Duration,
+    pub max_time: Duration,
     /// The idle time that is worth avoiding one load, as a multiple of the load
     /// time. A higher factor means fewer cold starts and more idle hours.
     pub idle_factor: u32,
@@ -24,8 +24,8 @@
 impl Default for KeepAliveSettings {
     fn default() -> Self {
         Self {
-            min: Duration::from_secs(5),
-            max: Duration::from_mins(10),
+            min_time: Duration::from_secs(5),
+            max_time: Duration::from_mins(10),
             idle_factor: 400,
             prior_gap: Duration::from_mins(2),
             capacity: 100_000,
@@ -139,22 +139,24 @@
     fn keep_time(&self, name: &Name) -> Duration {
         let settings = &self.settings;
         let Some(usage) = self.usages.get(name) else {
-            return settings.prior_gap.clamp(settings.min, settings.max);
+            return settings
+                .prior_gap
+                .clamp(settings.min_time, settings.max_time);
         };
         let reload_cost = load_time(usage) * settings.idle_factor;
         let best = usage
             .gaps
-            .best_keep_time(reload_cost, settings.prior_gap, settings.max);
+            .best_keep_time(reload_cost, settings.prior_gap, settings.max_time);
         let regular = usage
             .gaps
             .next_use()
             .filter(|(earliest, _)| *earliest > best);
         let span = if regular.is_some() {
-            settings.min
+            settings.min_time
         } else {
             best
         };
-        span.clamp(settings.min, settings.max)
+        span.clamp(settings.min_time, settings.max_time)
     }
 
     fn time_to_use(&self, now: Time, name: &Name) -> Option<Duration> {
--- a/crates/sequoiawing_policy/src/place/need.rs
+++ b/crates/sequoiawing_policy/src/place/need.rs
@@ -32,7 +32,7 @@
     pub has_waiting: bool,
     /// Whether another replica is loaded or loading, in this data centre or
     /// elsewhere.
-    pub is_additional: bool,
+    pub is_extra: bool,
     /// The demand of each customer with waiting requests.
     pub shares: Vec<CustomerNeed>,
 }
--- a/crates/sequoiawing_policy/src/place/placer.rs
+++ b/crates/sequoiawing_policy/src/place/placer.rs
@@ -142,7 +142,7 @@
 
     /// Returns the confirmed replica allotments of the data centre, by pool and
     /// model.
-    pub fn allotted_replicas(&self) -> BTreeMap<(Name, Name), u32> {
+    pub fn allotments(&self) -> BTreeMap<(Name, Name), u32> {
         self.allotments.counts()
     }
 
--- a/crates/sequoiawing_policy/src/place/plan.rs
+++ b/crates/sequoiawing_policy/src/place/plan.rs
@@ -53,7 +53,7 @@
         let model = self.model(target)?;
         let held = self.replicas(target);
         let (serving, loading) = self.remote_replicas(target);
-        let is_additional = held + serving + loading > 0;
+        let is_extra = held + serving + loading > 0;
         let loading = if wanted.is_urgent(now) { 0 } else { loading };
         let want = self
             .wanted_replicas(now, target, wanted)
@@ -70,7 +70,7 @@
             deadline: wanted.deadline(now),
             estimate: self.best_estimate(target, model.memory),
             has_waiting: wanted.has_waiting(now),
-            is_additional,
+            is_extra,
             shares: wanted.shares(now),
         };
         Some((need, want))
--- a/crates/sequoiawing_policy/src/place/sequence.rs
+++ b/crates/sequoiawing_policy/src/place/sequence.rs
@@ -36,31 +36,31 @@
 }
 
 impl FairDeadline {
-    fn virtual_time(&self, virtual_times: &BTreeMap<Name, f64>, customer: &Name) -> f64 {
-        virtual_times
+    fn virtual_time(&self, times: &BTreeMap<Name, f64>, customer: &Name) -> f64 {
+        times
             .get(customer)
             .map_or(self.virtual_now, |c| c.max(self.virtual_now))
     }
 
     /// Returns the lowest virtual time among the need's customers.
-    fn rank(&self, virtual_times: &BTreeMap<Name, f64>, need: &LoadNeed) -> f64 {
+    fn rank(&self, times: &BTreeMap<Name, f64>, need: &LoadNeed) -> f64 {
         let ranks = need
             .shares
             .iter()
-            .map(|s| self.virtual_time(virtual_times, &s.customer));
+            .map(|s| self.virtual_time(times, &s.customer));
         ranks.reduce(f64::min).unwrap_or(f64::MAX)
     }
 
     /// Charges the load to the waiting customers in proportion to their tokens.
-    fn charge(&self, virtual_times: &mut BTreeMap<Name, f64>, need: &LoadNeed) {
+    fn charge(&self, times: &mut BTreeMap<Name, f64>, need: &LoadNeed) {
         let total: u64 = need.shares.iter().map(|s| s.tokens.max(1)).sum();
         for share in &need.shares {
             #[expect(clippy::cast_precision_loss, reason = "a share needs no exact count")]
             let part = share.tokens.max(1) as f64 / total.max(1) as f64;
             let cost = need.estimate.max(Duration::from_millis(1)).as_secs_f64();
             let cost = cost * part / f64::from(share.weight.max(1));
-            let virtual_time = self.virtual_time(virtual_times, &share.customer);
-            virtual_times.insert(share.customer.clone(), virtual_time + cost);
+            let virtual_time = self.virtual_time(times, &share.customer);
+            times.insert(share.customer.clone(), virtual_time + cost);
         }
     }
 }
@@ -68,15 +68,10 @@
 impl SequenceLoads for FairDeadline {
     fn sort(&self, now: Time, needs: &mut Vec<LoadNeed>) {
         let mut remaining = std::mem::take(needs);
-        remaining.sort_by_key(|n| (n.misses_deadline(now), n.is_additional, n.deadline, n.since));
-        let mut virtual_times = self.virtual_times.clone();
+        remaining.sort_by_key(|n| (n.misses_deadline(now), n.is_extra, n.deadline, n.since));
+        let mut times = self.virtual_times.clone();
         while !remaining.is_empty() {
-            let key = |n: &LoadNeed| {
-                (
-                    (n.misses_deadline(now), n.is_additional),
-                    self.rank(&virtual_times, n),
-                )
-            };
+            let key = |n: &LoadNeed| ((n.misses_deadline(now), n.is_extra), self.rank(&times, n));
             let better = |a: &((bool, bool), f64), b: &((bool, bool), f64)| {
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).is_lt()
             };
@@ -87,7 +82,7 @@
                 }
             }
             let need = remaining.remove(best);
-            self.charge(&mut virtual_times, &need);
+            self.charge(&mut times, &need);
             needs.push(need);
         }
     }
@@ -97,10 +92,10 @@
         if rank < f64::MAX {
             self.virtual_now = self.virtual_now.max(rank);
         }
-        let mut virtual_times = std::mem::take(&mut self.virtual_times);
-        self.charge(&mut virtual_times, need);
+        let mut times = std::mem::take(&mut self.virtual_times);
+        self.charge(&mut times, need);
         let now = self.virtual_now;
-        virtual_times.retain(|_, virtual_time| *virtual_time > now);
-        self.virtual_times = virtual_times;
+        times.retain(|_, virtual_time| *virtual_time > now);
+        self.virtual_times = times;
     }
 }
