--- a/crates/sequoiawing_bench/tests/shares/world.rs
+++ b/crates/sequoiawing_bench/tests/shares/world.rs
@@ -377,20 +377,20 @@
         self.hosts[i].cell.handle(self.now, event, &mut out);
         for action in out {
             match action {
-                CellAction::Ask { to, request } => {
+                CellAction::Send { to, request } => {
                     let to = (0..self.hosts.len()).find(|h| name(*h) == to);
                     if let Some(to) = to {
                         self.send(i, to, Payload::Request(request), 20);
                     }
                 }
-                CellAction::Answer(reply) => self.send(i, asker, Payload::Reply(reply), 20),
+                CellAction::Reply(reply) => self.send(i, asker, Payload::Reply(reply), 20),
                 CellAction::Settled { epoch } => {
                     if !self.cut[i / HOSTS] {
                         let centre = centre(i / HOSTS);
                         self.log.apply(Command::SettleCell { centre, epoch });
                     }
                 }
-                CellAction::Led { .. } | CellAction::Lost => {}
+                CellAction::LeaseAcquired { .. } | CellAction::LeaseLost => {}
             }
         }
     }
--- a/crates/sequoiawing_cell/src/cell.rs
+++ b/crates/sequoiawing_cell/src/cell.rs
@@ -13,7 +13,7 @@
     until: Time,
 }
 
-/// A round of requests, and who granted it.
+/// A round of requests and the members that granted it.
 #[derive(Clone, Debug)]
 struct Round {
     number: u64,
@@ -24,42 +24,43 @@
     granted: BTreeSet<Name>,
 }
 
-/// One member of a cell.
+/// A member of a cell.
 pub struct Cell {
     host: Name,
     pub(crate) settings: CellSettings,
-    silent: Time,
+    silent_until: Time,
     pub(crate) epoch: u64,
     granted_epoch: u64,
     pub(crate) members: BTreeSet<Name>,
-    /// The highest term that was heard of.
+    /// The highest known term.
     term: u64,
-    /// The highest term that was or, before the start, may have been promised.
+    /// The highest term that was promised or may have been promised before the
+    /// start.
     promised_term: u64,
     promise: Option<Promise>,
     pub(crate) lease: Option<Lease>,
     round: Option<Round>,
-    rounds: u64,
-    next: Time,
-    settled: u64,
+    last_round: u64,
+    next_round: Time,
+    settled_epoch: u64,
     resigned: bool,
     pub(crate) records: Records,
-    /// When this host took the lease that it holds.
-    pub(crate) led: Time,
+    /// When this host acquired its current lease.
+    pub(crate) led_since: Time,
 }
 
 impl Cell {
-    /// Returns a member that has just started at `now`.
+    /// Creates a member that starts at `now`.
     ///
-    /// `floor` must grow with each start of any member, such as the wall clock's
-    /// milliseconds. Terms and rounds begin above it, so that a cell whose
-    /// members have all forgotten their terms never leads in one of them again.
+    /// `floor` must increase with each start of any member; the wall clock's
+    /// milliseconds qualify. Terms and rounds begin above it, so that a cell
+    /// never reuses a term even if all its members have lost their state.
     pub fn new(host: Name, settings: CellSettings, now: Time, floor: u64) -> Self {
-        let silent = now + settings.kept();
+        let silent_until = now + settings.promise_time();
         Self {
             host,
             settings,
-            silent,
+            silent_until,
             epoch: 0,
             granted_epoch: 0,
             members: BTreeSet::new(),
@@ -68,24 +69,24 @@
             promise: None,
             lease: None,
             round: None,
-            rounds: floor,
-            next: now,
-            settled: 0,
+            last_round: floor,
+            next_round: now,
+            settled_epoch: 0,
             resigned: false,
             records: Records::default(),
-            led: now,
+            led_since: now,
         }
     }
 
-    /// Returns the lease while this host holds it.
+    /// Returns the lease if this host holds it.
     ///
-    /// Ask immediately before anything is ordered: a process that was stopped
-    /// finds out here that its lease has run out.
+    /// Must be called immediately before any order is sent: a process that was
+    /// suspended learns here that its lease has expired.
     pub fn lease(&self, now: Time) -> Option<Lease> {
         self.lease.filter(|l| now < l.until)
     }
 
-    /// Returns the host that this member follows, itself included.
+    /// Returns the host that this member follows, possibly itself.
     pub fn leader(&self, now: Time) -> Option<&Name> {
         if self.lease(now).is_some() {
             return Some(&self.host);
@@ -94,7 +95,7 @@
         (promise.holder != self.host).then_some(&promise.holder)
     }
 
-    /// Returns the highest term that this member knows.
+    /// Returns the highest term known to this member.
     pub fn term(&self) -> u64 {
         self.term
     }
@@ -103,18 +104,18 @@
         self.members.len() / 2 + 1
     }
 
-    /// Takes in an event and adds what is to be done to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: CellEvent, out: &mut Vec<CellAction>) {
         self.expire(now, out);
         match event {
             CellEvent::Members { epoch, members } => self.reconfigure(epoch, members, out),
             CellEvent::Fence(fence) => self.term = self.term.max(fence),
             CellEvent::Request(request) => {
-                let reply = self.answer(now, &request);
-                out.push(CellAction::Answer(reply));
+                let reply = self.respond(now, &request);
+                out.push(CellAction::Reply(reply));
             }
-            CellEvent::Reply(reply) => self.count(now, reply, out),
-            CellEvent::Record { version, counts } => self.record(now, version, counts),
+            CellEvent::Reply(reply) => self.handle_reply(now, reply, out),
+            CellEvent::Record { version, counts } => self.propose_record(now, version, counts),
             CellEvent::Resign => self.resign(now, out),
             CellEvent::Tick => self.tick(now, out),
         }
@@ -122,20 +123,21 @@
 
     fn expire(&mut self, now: Time, out: &mut Vec<CellAction>) {
         if self.lease.is_some_and(|l| now >= l.until) {
-            self.lose(out);
+            self.drop_lease(out);
         }
     }
 
-    fn lose(&mut self, out: &mut Vec<CellAction>) {
+    fn drop_lease(&mut self, out: &mut Vec<CellAction>) {
         if self.lease.take().is_some() {
-            out.push(CellAction::Lost);
+            out.push(CellAction::LeaseLost);
         }
-        self.records.restart();
+        self.records.reset();
         self.round = None;
     }
 
-    /// Takes in newer members. A host that is no longer among them stops
-    /// leading; one that stays goes on, and its next renewal counts them.
+    /// Applies a newer membership. A host that is no longer a member stops
+    /// leading; a remaining leader continues, and its next renewal uses the new
+    /// membership.
     fn reconfigure(&mut self, epoch: u64, members: BTreeSet<Name>, out: &mut Vec<CellAction>) {
         if epoch <= self.epoch {
             return;
@@ -143,14 +145,14 @@
         self.epoch = epoch;
         self.members = members;
         self.round = None;
-        self.next = Time::ZERO;
+        self.next_round = Time::ZERO;
         if !self.members.contains(&self.host) {
-            self.lose(out);
+            self.drop_lease(out);
         }
-        self.records.advance(epoch, self.lease.is_some());
+        self.records.advance_epoch(epoch, self.lease.is_some());
     }
 
-    fn answer(&mut self, now: Time, request: &CellRequest) -> CellReply {
+    fn respond(&mut self, now: Time, request: &CellRequest) -> CellReply {
         let granted = match request.kind {
             RequestKind::Probe => self.would_grant(now, request),
             RequestKind::Promise => self.grant(now, request),
@@ -168,15 +170,17 @@
             term,
             epoch: self.epoch,
             holder: current.map(|p| p.holder.clone()),
-            has: granted.then(|| self.has(request.epoch)).flatten(),
-            newer: granted.then(|| self.newer(request)).flatten(),
+            has: granted
+                .then(|| self.record_version(request.epoch))
+                .flatten(),
+            newer: granted.then(|| self.newer_record(request)).flatten(),
         }
     }
 
     fn would_grant(&self, now: Time, request: &CellRequest) -> bool {
-        let silent = now < self.silent;
-        let outdated = request.epoch < self.epoch.max(self.granted_epoch);
-        if silent || outdated {
+        let is_silent = now < self.silent_until;
+        let is_outdated = request.epoch < self.epoch.max(self.granted_epoch);
+        if is_silent || is_outdated {
             return false;
         }
         match &self.promise {
@@ -196,10 +200,10 @@
         self.promise = Some(Promise {
             holder: request.from.clone(),
             term: request.term,
-            until: now + self.settings.kept(),
+            until: now + self.settings.promise_time(),
         });
         if request.from != self.host {
-            self.next = now + self.settings.kept() + self.stagger();
+            self.next_round = now + self.settings.promise_time() + self.election_delay();
         }
         if let Some(record) = &request.record {
             self.records.store(record);
@@ -208,44 +212,45 @@
     }
 
     fn release(&mut self, now: Time, request: &CellRequest) -> bool {
-        let theirs = |p: &Promise| p.holder == request.from && p.term == request.term;
-        if self.promise.as_ref().is_some_and(theirs) {
-            self.next = now + self.stagger();
+        let is_holder = |p: &Promise| p.holder == request.from && p.term == request.term;
+        if self.promise.as_ref().is_some_and(is_holder) {
+            self.next_round = now + self.election_delay();
             self.promise = None;
             return true;
         }
         false
     }
 
-    /// Starts a round when it is time: a renewal, or a probe of a candidate.
+    /// Starts a round when it is due: a renewal by the leader or a probe by a
+    /// candidate.
     fn tick(&mut self, now: Time, out: &mut Vec<CellAction>) {
-        if self.take_in(now) {
-            self.next = now;
+        if self.apply_pending(now) {
+            self.next_round = now;
         }
-        let waiting = now < self.next || now < self.silent;
+        let waiting = now < self.next_round || now < self.silent_until;
         if !self.may_lead() || waiting {
             return;
         }
         if let Some(lease) = self.lease {
-            self.next = now + self.settings.renewal;
+            self.next_round = now + self.settings.renewal;
             let term = self.renewal_term(lease);
-            self.start(now, term, RequestKind::Promise, out);
+            self.start_round(now, term, RequestKind::Promise, out);
             return;
         }
         let following = self.promise.as_ref().filter(|p| now < p.until);
         if following.is_some_and(|p| p.holder != self.host) {
             return;
         }
-        self.abandon(now, out);
-        self.next = now + self.settings.renewal / 4 + self.stagger();
-        self.start(now, self.term + 1, RequestKind::Probe, out);
+        self.abandon_round(now, out);
+        self.next_round = now + self.settings.renewal / 4 + self.election_delay();
+        self.start_round(now, self.term + 1, RequestKind::Probe, out);
     }
 
     /// Returns the term of the next renewal.
     ///
-    /// A member that started again promises only to terms above all that it
-    /// may have known, so a leader that hears of a higher one moves above it
-    /// without a pause.
+    /// A restarted member promises only terms above all that it may have known.
+    /// A leader that learns of a higher term therefore moves above it without a
+    /// pause in its lease.
     fn renewal_term(&self, lease: Lease) -> u64 {
         if self.term > lease.term {
             self.term + 1
@@ -254,25 +259,25 @@
         }
     }
 
-    /// Reports whether the host is a member by the newest epoch that it has
-    /// seen in any request; an older membership may not elect any more.
+    /// Returns whether the host is a member in the newest epoch seen in any
+    /// request. An older membership must not elect leaders any more.
     fn may_lead(&self) -> bool {
         let current = self.epoch >= self.granted_epoch;
         current && !self.resigned && self.members.contains(&self.host)
     }
 
-    /// Gives back the promises of a round that found no majority.
-    fn abandon(&mut self, now: Time, out: &mut Vec<CellAction>) {
+    /// Releases the promises of a round that found no majority.
+    fn abandon_round(&mut self, now: Time, out: &mut Vec<CellAction>) {
         let failed = self.round.take().filter(|r| r.kind == RequestKind::Promise);
         if let Some(round) = failed {
-            self.give_back(now, round.term, out);
+            self.release_promises(now, round.term, out);
         }
     }
 
-    /// Returns the pause by which members that want to lead keep out of each
-    /// other's way: longer for each host that comes before this one, but for
-    /// the one that led last.
-    fn stagger(&self) -> std::time::Duration {
+    /// Returns the delay that keeps candidates from competing: it grows with
+    /// the number of hosts that precede this one by name, except for the
+    /// previous leader.
+    fn election_delay(&self) -> std::time::Duration {
         let former = self.promise.as_ref().map(|p| &p.holder);
         let earlier = self.members.iter().take_while(|m| **m != self.host);
         let before = earlier.filter(|m| Some(*m) != former).count();
@@ -280,22 +285,22 @@
         self.settings.renewal / 8 * before.min(8)
     }
 
-    fn start(&mut self, now: Time, term: u64, kind: RequestKind, out: &mut Vec<CellAction>) {
+    fn start_round(&mut self, now: Time, term: u64, kind: RequestKind, out: &mut Vec<CellAction>) {
         if kind == RequestKind::Probe {
-            self.records.restart();
+            self.records.reset();
         }
-        self.rounds += 1;
+        self.last_round += 1;
         let request = CellRequest {
             from: self.host.clone(),
             term,
             epoch: self.epoch,
-            round: self.rounds,
+            round: self.last_round,
             kind,
-            has: self.has(self.epoch),
+            has: self.record_version(self.epoch),
             record: None,
         };
         self.round = Some(Round {
-            number: self.rounds,
+            number: self.last_round,
             term,
             epoch: self.epoch,
             kind,
@@ -310,16 +315,16 @@
                 record,
                 ..request.clone()
             };
-            out.push(CellAction::Ask {
+            out.push(CellAction::Send {
                 to: to.clone(),
                 request,
             });
         }
-        let own = self.answer(now, &request);
-        self.count(now, own, out);
+        let own = self.respond(now, &request);
+        self.handle_reply(now, own, out);
     }
 
-    fn count(&mut self, now: Time, reply: CellReply, out: &mut Vec<CellAction>) {
+    fn handle_reply(&mut self, now: Time, reply: CellReply, out: &mut Vec<CellAction>) {
         self.term = self.term.max(reply.term);
         let majority = self.majority();
         let is_member = self.members.contains(&reply.from);
@@ -331,41 +336,49 @@
         }
         if round.kind == RequestKind::Promise {
             let from = reply.from.clone();
-            self.records.hear(from, reply.has, reply.newer.as_ref());
+            self.records
+                .record_reply(from, reply.has, reply.newer.as_ref());
         }
         let is_new = round.granted.insert(reply.from);
         if self.lease.is_some() {
-            self.records.settle(self.epoch, majority);
+            self.records.adopt_reported(self.epoch, majority);
         }
         if !is_new || round.granted.len() != majority {
             return;
         }
         let (term, kind, started, epoch) = (round.term, round.kind, round.started, round.epoch);
         match kind {
-            RequestKind::Probe => self.start(now, term, RequestKind::Promise, out),
-            RequestKind::Promise => self.hold(now, term, started, epoch, out),
+            RequestKind::Probe => self.start_round(now, term, RequestKind::Promise, out),
+            RequestKind::Promise => self.acquire_lease(now, term, started, epoch, out),
             RequestKind::Release => {}
         }
     }
 
-    /// Takes the lease that a majority has promised since `started`.
-    fn hold(&mut self, now: Time, term: u64, started: Time, epoch: u64, out: &mut Vec<CellAction>) {
-        let until = started + self.settings.usable();
+    /// Acquires the lease that a majority has promised, counted from `started`.
+    fn acquire_lease(
+        &mut self,
+        now: Time,
+        term: u64,
+        started: Time,
+        epoch: u64,
+        out: &mut Vec<CellAction>,
+    ) {
+        let until = started + self.settings.lease_time();
         if now >= until {
             return;
         }
         let is_new = self.lease.is_none_or(|l| l.term != term);
         if self.lease.is_none() {
-            self.led = now;
+            self.led_since = now;
         }
         self.lease = Some(Lease { term, until });
-        self.next = started + self.settings.renewal;
-        self.records.settle(self.epoch, self.majority());
+        self.next_round = started + self.settings.renewal;
+        self.records.adopt_reported(self.epoch, self.majority());
         if is_new {
-            out.push(CellAction::Led { term });
+            out.push(CellAction::LeaseAcquired { term });
         }
-        if epoch > self.settled {
-            self.settled = epoch;
+        if epoch > self.settled_epoch {
+            self.settled_epoch = epoch;
             out.push(CellAction::Settled { epoch });
         }
     }
@@ -375,24 +388,24 @@
         let Some(lease) = self.lease else {
             return;
         };
-        self.lose(out);
-        self.give_back(now, lease.term, out);
+        self.drop_lease(out);
+        self.release_promises(now, lease.term, out);
     }
 
-    fn give_back(&mut self, now: Time, term: u64, out: &mut Vec<CellAction>) {
-        self.rounds += 1;
+    fn release_promises(&mut self, now: Time, term: u64, out: &mut Vec<CellAction>) {
+        self.last_round += 1;
         let request = CellRequest {
             from: self.host.clone(),
             term,
             epoch: self.epoch,
-            round: self.rounds,
+            round: self.last_round,
             kind: RequestKind::Release,
             has: None,
             record: None,
         };
         self.release(now, &request);
         for to in self.members.iter().filter(|m| **m != self.host) {
-            out.push(CellAction::Ask {
+            out.push(CellAction::Send {
                 to: to.clone(),
                 request: request.clone(),
             });
--- a/crates/sequoiawing_cell/src/event.rs
+++ b/crates/sequoiawing_cell/src/event.rs
@@ -2,10 +2,10 @@
 use sequoiawing_types::{Name, Time};
 use std::collections::BTreeSet;
 
-/// What happens to a member of a cell.
+/// An input to a member of a cell.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CellEvent {
-    /// The tables name the members of an epoch.
+    /// The membership of an epoch was read from the tables.
     Members {
         /// The epoch.
         epoch: u64,
@@ -14,56 +14,56 @@
     },
     /// A fencing number was seen in an announcement or in the log.
     Fence(u64),
-    /// Another member asks.
+    /// Another member sent a request.
     Request(CellRequest),
-    /// Another member answered.
+    /// Another member replied.
     Reply(CellReply),
-    /// The leader of a term wants a majority to remember what the data centre
-    /// may hold.
+    /// The leader of a term wants a majority to store what the data centre may
+    /// hold.
     Record {
-        /// The term and the leader's number; a version is used once.
+        /// The term and the leader's record number. Each version is used once.
         version: Version,
         /// The replicas of each model.
         counts: Vec<ShareCount>,
     },
-    /// The host shuts down and gives the lease back.
+    /// The host shuts down and releases its lease.
     Resign,
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What a member wants done.
+/// An output of a member, to be carried out by the driver.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CellAction {
-    /// Send the request to the member; its reply comes back as an event.
-    Ask {
+    /// Sends a request to a member. Its reply is passed back as an event.
+    Send {
         /// The member.
         to: Name,
         /// The request.
         request: CellRequest,
     },
-    /// Answer the request that was just handled.
-    Answer(CellReply),
-    /// This host leads from now on, in the term.
-    Led {
+    /// Replies to the request that was just handled.
+    Reply(CellReply),
+    /// This host acquired the lease and leads in the term.
+    LeaseAcquired {
         /// The term.
         term: u64,
     },
-    /// This host does not lead any more.
-    Lost,
-    /// A majority of the epoch has promised; the log may change the members
-    /// again.
+    /// This host lost the lease and no longer leads.
+    LeaseLost,
+    /// A majority of the epoch has promised, so the log may change the
+    /// membership again.
     Settled {
         /// The epoch.
         epoch: u64,
     },
 }
 
-/// A lease that is held now.
+/// A lease that is currently held.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Lease {
     /// The term, which is the fencing number of every order.
     pub term: u64,
-    /// When the lease runs out unless it is renewed.
+    /// When the lease expires unless it is renewed.
     pub until: Time,
 }
--- a/crates/sequoiawing_cell/src/lib.rs
+++ b/crates/sequoiawing_cell/src/lib.rs
@@ -1,10 +1,10 @@
-//! The lease of one leader for each data centre.
+//! Leader leases, one per data centre.
 //!
-//! The routers of a data centre form a cell. One of them leads it for as long
-//! as a majority has promised to follow no other; a cell that is cut off from
-//! all others goes on electing. The state is in memory only: a member that
-//! starts again waits until every promise that it may have made has run out.
-//! See [docs/design/cells.md](../../../docs/design/cells.md).
+//! The routers of a data centre form a cell. A router leads the cell while a
+//! majority of its members has promised to follow no other host. A cell that is
+//! partitioned from all others continues to elect leaders. The state is kept in
+//! memory only: a restarted member waits until every promise that it may have
+//! made has expired. See [docs/design/cells.md](../../../docs/design/cells.md).
 
 mod cell;
 mod event;
--- a/crates/sequoiawing_cell/src/message.rs
+++ b/crates/sequoiawing_cell/src/message.rs
@@ -2,35 +2,37 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// What one member asks of another.
+/// The kind of a [`CellRequest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
-    /// Whether a promise would be made; promises nothing.
+    /// Asks whether a promise would be made, without making one.
     Probe,
-    /// A promise to follow no other for the time of a lease.
+    /// Asks for a promise to follow no other host for the duration of a lease.
     Promise,
-    /// Nothing more: the asker gives its promise back.
+    /// Releases the promise that the member made to the sender.
     Release,
 }
 
-/// A request of a member that leads or wants to.
+/// A request of a leader or candidate.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct CellRequest {
-    /// The asking host.
+    /// The sending host.
     pub from: Name,
-    /// The term in which it leads or wants to.
+    /// The term in which the sender leads or wants to lead.
     pub term: u64,
-    /// The epoch of the members that it counts.
+    /// The epoch of the membership that the sender uses.
     pub epoch: u64,
-    /// Numbers the asker's rounds, so that a late reply counts for its own.
+    /// The number of the sender's round, which attributes a late reply to its
+    /// round.
     pub round: u64,
-    /// What is asked.
+    /// The kind of the request.
     pub kind: RequestKind,
-    /// The newest record that the asker has among the members of the epoch.
+    /// The version of the sender's newest record in this epoch.
     #[serde(default)]
     pub has: Option<Version>,
-    /// A record that the member may lack; one that promises remembers it.
+    /// A record that the receiver may lack. A member that makes the promise
+    /// stores it.
     #[serde(default)]
     pub record: Option<ShareRecord>,
 }
@@ -38,24 +40,24 @@
 /// The answer to a [`CellRequest`].
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct CellReply {
-    /// The answering host.
+    /// The replying host.
     pub from: Name,
     /// The round of the request.
     pub round: u64,
-    /// Whether the promise was made, or would be.
+    /// Whether the promise was made or, for a probe, would be made.
     pub granted: bool,
-    /// The highest term that the member knows or, if it refused while free to
-    /// promise, the lowest that it would promise.
+    /// The highest term known to the member or, if it refused without a current
+    /// promise, the lowest term that it would promise.
     pub term: u64,
-    /// The epoch of the members that it knows.
+    /// The epoch of the membership that the member knows.
     pub epoch: u64,
-    /// The holder of its promise, if there is one.
+    /// The holder of its current promise, if any.
     pub holder: Option<Name>,
-    /// The newest record that the member remembers among the members of the
-    /// request's epoch, if it promised.
+    /// The version of the member's newest record in the request's epoch, if it
+    /// made the promise.
     #[serde(default)]
     pub has: Option<Version>,
-    /// That record, if the asker has none as new.
+    /// That record, if the sender has no record as new.
     #[serde(default)]
     pub newer: Option<ShareRecord>,
 }
--- a/crates/sequoiawing_cell/src/record.rs
+++ b/crates/sequoiawing_cell/src/record.rs
@@ -2,13 +2,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Orders the records of a cell: by the term of the leader that made one, then
-/// by the number that the leader gave it.
+/// The version of a cell's record, ordered by the term of the leader that made
+/// it, then by the leader's number.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Version {
     /// The term of the leader.
     pub term: u64,
-    /// The leader's number.
+    /// The number that the leader gave the record.
     pub number: u64,
 }
 
@@ -19,73 +19,72 @@
     pub pool: Name,
     /// The model.
     pub model: Name,
-    /// The replicas.
+    /// The number of replicas.
     pub count: u32,
 }
 
-/// What the leader of a cell wants a majority to remember: the replicas that
-/// the data centre may hold, which its next leader may use without the log.
+/// The replicas that the data centre may hold, stored on a majority of cell
+/// members. The next leader may use them without asking the log.
 ///
 /// See [docs/design/replicas.md](../../../docs/design/replicas.md).
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ShareRecord {
-    /// The epoch of the members among whom the record counts.
+    /// The epoch of the membership in which the record is valid.
     pub epoch: u64,
-    /// Where the record stands among others.
+    /// The version of the record.
     pub version: Version,
-    /// The replicas of each model; one that is missing has none.
+    /// The replicas of each model. A model that is not listed has none.
     pub counts: Vec<ShareCount>,
 }
 
-/// What a member remembers, and what it knows of the others while it leads.
+/// A member's record and, while it leads, the records of other members.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Records {
-    /// The newest record that this member has taken in since its start.
+    /// The newest record that this member has stored since its start.
     own: Option<ShareRecord>,
-    /// The newest record that others told of. It is kept apart from `own` until
-    /// a majority has told: a member that forgot what it had must not vouch for
-    /// what it hears.
-    told: Option<ShareRecord>,
-    /// What the members had when they last promised to this leader.
-    heard: BTreeMap<Name, Version>,
-    /// The members that promised to this leader, whatever they had.
-    answered: BTreeSet<Name>,
-    /// Whether `own` is at least as new as any that a majority remembers.
+    /// The newest record reported by others. It is kept apart from `own` until
+    /// a majority has reported: a restarted member has lost its records and
+    /// must not confirm one that it only heard of.
+    reported: Option<ShareRecord>,
+    /// The versions that members had when they last promised to this leader.
+    versions: BTreeMap<Name, Version>,
+    /// The members that promised to this leader, with or without a record.
+    responders: BTreeSet<Name>,
+    /// Whether `own` is at least as new as any record stored on a majority.
     pub(crate) is_current: bool,
-    /// What is to be recorded as soon as it is known that nothing newer is lost
-    /// by it.
-    waiting: Option<(Version, Vec<ShareCount>)>,
+    /// The record to store once it is known that it replaces nothing newer.
+    pending: Option<(Version, Vec<ShareCount>)>,
 }
 
 impl Records {
-    /// Forgets what was heard as a candidate or leader.
-    pub(crate) fn restart(&mut self) {
-        self.heard.clear();
-        self.answered.clear();
-        self.told = None;
-        self.waiting = None;
+    /// Discards everything reported to a candidate or leader.
+    pub(crate) fn reset(&mut self) {
+        self.versions.clear();
+        self.responders.clear();
+        self.reported = None;
+        self.pending = None;
         self.is_current = false;
     }
 
-    /// Returns the newest record of an epoch.
+    /// Returns the own record if it belongs to the epoch.
     pub(crate) fn get(&self, epoch: u64) -> Option<&ShareRecord> {
         self.own.as_ref().filter(|r| r.epoch == epoch)
     }
 
-    /// Takes in a record unless this member has a newer one.
+    /// Stores a record unless the own record is newer.
     pub(crate) fn store(&mut self, record: &ShareRecord) {
         replace_older(&mut self.own, record);
     }
 
-    /// Brings the record of a leader to a newer epoch.
+    /// Moves a leader's record to a newer epoch.
     ///
-    /// That of any other member counts only among the members of its own epoch:
-    /// a majority of two epochs later need not overlap with the one that
-    /// remembers a release.
-    pub(crate) fn advance(&mut self, epoch: u64, is_leading: bool) {
-        self.heard.clear();
+    /// A record of any other member is valid only in its own epoch: the
+    /// majority of an epoch two changes later need not overlap with the
+    /// majority that stored a release.
+    pub(crate) fn advance_epoch(&mut self, epoch: u64, is_leading: bool) {
+        self.versions.clear();
         if !is_leading || !self.is_current {
-            self.restart();
+            self.reset();
             return;
         }
         if let Some(own) = &mut self.own {
@@ -93,43 +92,51 @@
         }
     }
 
-    /// Notes what a member had when it promised.
-    pub(crate) fn hear(&mut self, from: Name, has: Option<Version>, newer: Option<&ShareRecord>) {
-        self.answered.insert(from.clone());
+    /// Records what a member had when it promised.
+    pub(crate) fn record_reply(
+        &mut self,
+        from: Name,
+        has: Option<Version>,
+        newer: Option<&ShareRecord>,
+    ) {
+        self.responders.insert(from.clone());
         if let Some(version) = has {
-            self.heard.insert(from, version);
+            self.versions.insert(from, version);
         }
         if let Some(record) = newer {
-            replace_older(&mut self.told, record);
+            replace_older(&mut self.reported, record);
         }
     }
 
-    /// Trusts the newest record once a majority has told what it remembers.
-    pub(crate) fn settle(&mut self, epoch: u64, majority: usize) {
-        if self.is_current || self.heard.len() < majority {
+    /// Adopts the newest reported record once a majority has reported its
+    /// records.
+    pub(crate) fn adopt_reported(&mut self, epoch: u64, majority: usize) {
+        if self.is_current || self.versions.len() < majority {
             return;
         }
-        if let Some(told) = self.told.take().filter(|r| r.epoch == epoch) {
-            self.store(&told);
+        if let Some(reported) = self.reported.take().filter(|r| r.epoch == epoch) {
+            self.store(&reported);
         }
         self.is_current = self.get(epoch).is_some();
-        self.waiting = None;
+        self.pending = None;
     }
 
-    /// Notes what the leader wants recorded.
+    /// Sets the record that the leader wants to store.
     pub(crate) fn propose(&mut self, version: Version, counts: Vec<ShareCount>) {
-        self.waiting = Some((version, counts));
+        self.pending = Some((version, counts));
     }
 
-    /// Takes in what waits, if it may be, and reports whether it did.
+    /// Applies the pending record if allowed, and returns whether there was
+    /// one.
     ///
-    /// Nothing older can be trusted afterwards, so this waits until the members
-    /// have told what they remember, or until `is_late`.
-    pub(crate) fn take_in(&mut self, epoch: u64, is_late: bool) -> bool {
-        if !self.is_current && !is_late {
+    /// Older records can no longer be trusted afterwards. This therefore waits
+    /// until a majority has reported its records, or until `may_replace` is
+    /// set.
+    pub(crate) fn apply_pending(&mut self, epoch: u64, may_replace: bool) -> bool {
+        if !self.is_current && !may_replace {
             return false;
         }
-        let Some((version, counts)) = self.waiting.take() else {
+        let Some((version, counts)) = self.pending.take() else {
             return false;
         };
         self.own = Some(ShareRecord {
@@ -141,24 +148,24 @@
         true
     }
 
-    /// Counts the members that told what they have.
-    pub(crate) fn answered(&self) -> usize {
-        self.answered.len()
+    /// Returns the number of members that have replied.
+    pub(crate) fn responses(&self) -> usize {
+        self.responders.len()
     }
 
-    /// Returns the record for a member that does not have it yet.
+    /// Returns the leader's record if the member lacks it.
     pub(crate) fn missing(&self, epoch: u64, member: &Name) -> Option<ShareRecord> {
         let own = self.get(epoch).filter(|_| self.is_current)?;
-        let has = self.heard.get(member);
+        let has = self.versions.get(member);
         has.is_none_or(|v| *v < own.version).then(|| own.clone())
     }
 
-    /// Returns the newest version that a majority remembers for certain.
+    /// Returns the newest version that a majority has certainly stored.
     pub(crate) fn recorded(&self, majority: usize) -> Option<Version> {
-        let mut versions: Vec<Version> = self.heard.values().copied().collect();
+        let mut versions: Vec<Version> = self.versions.values().copied().collect();
         versions.sort_unstable();
-        let place = versions.len().checked_sub(majority)?;
-        versions.get(place).copied().filter(|_| self.is_current)
+        let index = versions.len().checked_sub(majority)?;
+        versions.get(index).copied().filter(|_| self.is_current)
     }
 }
 
--- a/crates/sequoiawing_cell/src/settings.rs
+++ b/crates/sequoiawing_cell/src/settings.rs
@@ -1,20 +1,19 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The times that all members of a cell keep to.
+/// The timing shared by all members of a cell.
 ///
-/// They must be the same on all members, since a member that starts again
-/// waits by its own settings for promises made by theirs.
+/// All members must use the same settings, since a restarted member waits by
+/// its own settings for promises made under those of others.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct CellSettings {
-    /// How long a promise holds.
+    /// The nominal duration of a promise.
     pub lease: Duration,
-    /// How often the leader renews its lease; a candidate asks four times as
-    /// often.
+    /// The interval at which the leader renews its lease. A candidate asks four
+    /// times as often.
     pub renewal: Duration,
-    /// How much faster or slower than true time any clock may run, in
-    /// thousandths.
+    /// The maximum deviation of any clock from true time, in thousandths.
     pub drift: u32,
 }
 
@@ -29,15 +28,16 @@
 }
 
 impl CellSettings {
-    /// Returns how long the holder of a lease may count on a promise, from the
-    /// moment when it asked for it.
-    pub fn usable(&self) -> Duration {
+    /// Returns how long the holder of a lease may rely on a promise, measured
+    /// from its request. Allows for clock drift.
+    pub fn lease_time(&self) -> Duration {
         self.lease * (1_000 - self.drift) / 1_000
     }
 
-    /// Returns how long a member keeps a promise, from the moment when it made
-    /// it, and how long it stays silent after it has started.
-    pub fn kept(&self) -> Duration {
+    /// Returns how long a member keeps a promise, measured from when it was
+    /// made, and how long a member grants nothing after a restart. Allows for
+    /// clock drift.
+    pub fn promise_time(&self) -> Duration {
         self.lease * (1_000 + self.drift) / 1_000
     }
 }
--- a/crates/sequoiawing_cell/tests/cell/main.rs
+++ b/crates/sequoiawing_cell/tests/cell/main.rs
@@ -1,6 +1,7 @@
-//! Proves that a cell never has two leaders, by random faults and scenarios.
+//! Checks that a cell never has two leaders, under random faults and in
+//! scripted scenarios.
 
 mod random;
 mod records;
 mod scripted;
-mod world;
+mod simulation;
--- a/crates/sequoiawing_cell/tests/cell/random.rs
+++ b/crates/sequoiawing_cell/tests/cell/random.rs
@@ -1,7 +1,8 @@
-//! Random faults over fixed seeds: never two leaders at once, never a term led
-//! twice, and the checker catches planted faults.
+//! Injects random faults over fixed seeds. Guards against two leaders at once
+//! and against a term with two leaderships, and checks that the checker detects
+//! injected faults.
 
-use crate::world::{Planted, World};
+use crate::simulation::{InjectedFault, Simulation};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sequoiawing_types::Name;
@@ -10,53 +11,55 @@
 const STEPS: u32 = 4_000;
 const STEP: Duration = Duration::from_millis(20);
 
-/// Clocks within the bound of 10 thousandths, which the settings state.
+/// The clock speeds, in thousandths of true time, within the drift bound of 10
+/// thousandths of the settings.
 const SPEEDS: [u64; 3] = [990, 1_000, 1_010];
 
 fn host(i: usize) -> Name {
     Name::from(format!("host-{i}"))
 }
 
-/// Runs one seed and returns the first fault, with the number of leaders seen.
-fn run(number: u64, planted: Planted) -> (Option<String>, usize) {
+/// Runs one seed and returns the first violation, with the number of
+/// leaderships.
+fn run(number: u64, injected: InjectedFault) -> (Option<String>, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(number);
-    let mut world = World::new(planted);
+    let mut sim = Simulation::new(injected);
     for i in 0..5 {
         let speed = SPEEDS[rng.random_range(0..SPEEDS.len())];
-        world.start(&host(i), speed);
+        sim.start(&host(i), speed);
     }
-    world.change(&host(0), true);
+    sim.change_member(&host(0), true);
     for _ in 0..STEPS {
-        disturb(&mut world, &mut rng);
-        let mut dice = ChaCha8Rng::seed_from_u64(rng.next_u64());
-        world.step(STEP, || {
-            let lost = dice.random_ratio(1, 20);
-            let delay = Duration::from_millis(dice.random_range(0..120));
+        inject_faults(&mut sim, &mut rng);
+        let mut network_rng = ChaCha8Rng::seed_from_u64(rng.next_u64());
+        sim.step(STEP, || {
+            let lost = network_rng.random_ratio(1, 20);
+            let delay = Duration::from_millis(network_rng.random_range(0..120));
             (!lost).then_some(delay)
         });
-        if let Some(fault) = world.fault() {
-            return (Some(fault), world.led.len());
+        if let Some(violation) = sim.violation() {
+            return (Some(violation), sim.led.len());
         }
     }
-    (settle(&mut world), world.led.len())
+    (check_recovery(&mut sim), sim.led.len())
 }
 
-/// Ends all disturbances and returns what is wrong if the members then do not
-/// follow one leader.
-fn settle(world: &mut World) -> Option<String> {
+/// Ends all faults and returns a violation if the members then do not follow
+/// one leader.
+fn check_recovery(sim: &mut Simulation) -> Option<String> {
     const DELAY: Duration = Duration::from_millis(1);
-    world.calm();
+    sim.heal();
     for _ in 0..500 {
-        world.step(STEP, || Some(DELAY));
-        if let Some(fault) = world.fault() {
-            return Some(fault);
+        sim.step(STEP, || Some(DELAY));
+        if let Some(violation) = sim.violation() {
+            return Some(violation);
         }
     }
-    let strays = world.strays();
-    (!strays.is_empty()).then(|| format!("{strays:?} follow no leader"))
+    let leaderless = sim.members_without_leader();
+    (!leaderless.is_empty()).then(|| format!("{leaderless:?} follow no leader"))
 }
 
-fn disturb<R>(world: &mut World, rng: &mut R)
+fn inject_faults<R>(sim: &mut Simulation, rng: &mut R)
 where
     R: Rng,
 {
@@ -64,23 +67,23 @@
     let other = host(rng.random_range(0..5));
     match rng.random_range(0..200) {
         0..3 => {
-            world.cuts.insert((one, other));
+            sim.cut_links.insert((one, other));
         }
-        3..6 => world.cuts.clear(),
+        3..6 => sim.cut_links.clear(),
         6..8 => {
             let speed = SPEEDS[rng.random_range(0..SPEEDS.len())];
-            world.start(&one, speed);
+            sim.start(&one, speed);
         }
         8 => {
             let span = Duration::from_millis(rng.random_range(100..4_000));
-            world.freeze(&one, span);
+            sim.freeze(&one, span);
         }
         9..11 => {
-            world.change(&one, rng.random_ratio(2, 3));
+            sim.change_member(&one, rng.random_ratio(2, 3));
         }
-        11 => world.resign(&one),
-        12 => world.stop(&one),
-        13..40 => world.publish(&one),
+        11 => sim.resign(&one),
+        12 => sim.stop(&one),
+        13..40 => sim.publish_members(&one),
         _ => {}
     }
 }
@@ -89,99 +92,99 @@
 fn no_two_leaders_at_once_over_all_seeds() {
     let mut led = 0;
     for seed in 0..60 {
-        let (fault, leaders) = run(seed, Planted::None);
-        assert_eq!(fault, None, "seed {seed}");
+        let (violation, leaders) = run(seed, InjectedFault::None);
+        assert_eq!(violation, None, "seed {seed}");
         led += leaders;
     }
     assert!(
         led > 200,
-        "the runs must elect leaders to mean anything: {led}"
+        "too few leaderships for a meaningful check: {led}"
     );
 }
 
 macro_rules! caught {
-    ($($name:ident: $planted:expr,)*) => {$(
+    ($($name:ident: $injected:expr,)*) => {$(
         #[test]
         fn $name() {
-            let caught = (0..60).any(|seed| run(seed, $planted).0.is_some());
-            assert!(caught, "the checker must catch {:?}", $planted);
+            let caught = (0..60).any(|seed| run(seed, $injected).0.is_some());
+            assert!(caught, "the checker does not detect {:?}", $injected);
         }
     )*};
 }
 
 caught! {
-    catches_a_member_that_promises_to_everyone: Planted::ManyPromises,
-    catches_members_changed_before_they_settled: Planted::NoSettling,
+    catches_a_member_that_grants_every_promise: InjectedFault::GrantsAll,
+    catches_member_changes_before_the_epoch_settled: InjectedFault::UnsettledChange,
 }
 
-/// Returns a cell of three whose leader, with a slow clock, is cut off from the
-/// other two, with fast ones, at a moment that the seed chooses.
-fn cut_slow_leader(rng: &mut ChaCha8Rng, planted: Planted) -> World {
-    let mut world = World::new(planted);
-    world.start(&host(0), SPEEDS[0]);
-    world.start(&host(1), SPEEDS[2]);
-    world.start(&host(2), SPEEDS[2]);
+/// Returns a cell of three whose leader, with a slow clock, is partitioned from
+/// the other two, with fast clocks, at a time chosen by the seed.
+fn partition_slow_leader(rng: &mut ChaCha8Rng, injected: InjectedFault) -> Simulation {
+    let mut sim = Simulation::new(injected);
+    sim.start(&host(0), SPEEDS[0]);
+    sim.start(&host(1), SPEEDS[2]);
+    sim.start(&host(2), SPEEDS[2]);
     for i in 0..3 {
-        world.log.members.insert(host(i));
+        sim.log.members.insert(host(i));
     }
-    world.log.epoch = 1;
-    world.publish(&host(0));
-    run_for(&mut world, 2_000);
-    world.publish(&host(1));
-    world.publish(&host(2));
-    run_for(&mut world, rng.random_range(2_000..2_400));
+    sim.log.epoch = 1;
+    sim.publish_members(&host(0));
+    run_for(&mut sim, 2_000);
+    sim.publish_members(&host(1));
+    sim.publish_members(&host(2));
+    run_for(&mut sim, rng.random_range(2_000..2_400));
     for i in 1..3 {
-        world.cuts.insert((host(0), host(i)));
-        world.cuts.insert((host(i), host(0)));
+        sim.cut_links.insert((host(0), host(i)));
+        sim.cut_links.insert((host(i), host(0)));
     }
-    assert_eq!(world.leaders().len(), 1, "a leader is there to be cut off");
-    world
+    assert_eq!(sim.leaders().len(), 1, "no leader to partition");
+    sim
 }
 
-fn outlast(number: u64, planted: Planted) -> Option<String> {
+fn isolate_leader(number: u64, injected: InjectedFault) -> Option<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(number);
-    let mut world = cut_slow_leader(&mut rng, planted);
-    run_for(&mut world, 4_000)
+    let mut sim = partition_slow_leader(&mut rng, injected);
+    run_for(&mut sim, 4_000)
 }
 
-/// Starts the other two members again, without memory, while the leader that
-/// is cut off still holds its lease.
-fn forget(number: u64, planted: Planted) -> Option<String> {
+/// Restarts the other two members without their state while the partitioned
+/// leader still holds its lease.
+fn restart_followers(number: u64, injected: InjectedFault) -> Option<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(number);
-    let mut world = cut_slow_leader(&mut rng, planted);
+    let mut sim = partition_slow_leader(&mut rng, injected);
     for i in 1..3 {
-        run_for(&mut world, rng.random_range(0..400));
-        world.start(&host(i), SPEEDS[2]);
-        world.publish(&host(i));
+        run_for(&mut sim, rng.random_range(0..400));
+        sim.start(&host(i), SPEEDS[2]);
+        sim.publish_members(&host(i));
     }
-    run_for(&mut world, 4_000)
+    run_for(&mut sim, 4_000)
 }
 
-/// Steps by the millisecond and returns the first fault.
-fn run_for(world: &mut World, millis: u32) -> Option<String> {
+/// Steps by one millisecond at a time and returns the first violation.
+fn run_for(sim: &mut Simulation, millis: u32) -> Option<String> {
     const DELAY: Duration = Duration::from_micros(500);
     for _ in 0..millis {
-        world.step(Duration::from_millis(1), || Some(DELAY));
-        if let Some(fault) = world.fault() {
-            return Some(fault);
+        sim.step(Duration::from_millis(1), || Some(DELAY));
+        if let Some(violation) = sim.violation() {
+            return Some(violation);
         }
     }
     None
 }
 
 macro_rules! directed {
-    ($($name:ident: $run:ident, $planted:expr, $caught:expr;)*) => {$(
+    ($($name:ident: $run:ident, $injected:expr, $caught:expr;)*) => {$(
         #[test]
         fn $name() {
-            let caught = (0..100).find_map(|seed| $run(seed, $planted));
-            assert_eq!(caught.is_some(), $caught, "{:?}: {caught:?}", $planted);
+            let caught = (0..100).find_map(|seed| $run(seed, $injected));
+            assert_eq!(caught.is_some(), $caught, "{:?}: {caught:?}", $injected);
         }
     )*};
 }
 
 directed! {
-    a_slow_leader_stops_before_its_members_forget_it: outlast, Planted::None, false;
-    catches_a_lease_that_ignores_drift: outlast, Planted::NoDrift, true;
-    members_that_start_again_wait_for_the_leader: forget, Planted::None, false;
-    catches_a_member_that_does_not_wait_after_a_start: forget, Planted::NoSilence, true;
+    a_slow_leader_stops_before_its_promises_expire: isolate_leader, InjectedFault::None, false;
+    catches_a_lease_that_ignores_drift: isolate_leader, InjectedFault::IgnoredDrift, true;
+    restarted_members_wait_for_the_old_lease: restart_followers, InjectedFault::None, false;
+    catches_a_member_that_does_not_wait_after_a_restart: restart_followers, InjectedFault::NoStartupWait, true;
 }
--- a/crates/sequoiawing_cell/tests/cell/scripted.rs
+++ b/crates/sequoiawing_cell/tests/cell/scripted.rs
@@ -1,6 +1,6 @@
-//! Runs the scenarios in the small test language of `datadriven`.
+//! Runs the scenarios written in the test language of `datadriven`.
 
-use crate::world::{Planted, World};
+use crate::simulation::{InjectedFault, Simulation};
 use datadriven::{TestCase, walk};
 use sequoiawing_types::Name;
 use std::time::Duration;
@@ -12,89 +12,89 @@
 #[test]
 fn scenarios() {
     walk("tests/scenarios", |file| {
-        let mut world = World::new(Planted::None);
+        let mut sim = Simulation::new(InjectedFault::None);
         file.run(|case| {
-            let mut text = command(&mut world, case);
+            let mut text = command(&mut sim, case);
             text.push('\n');
             text
         });
     });
 }
 
-fn command(world: &mut World, case: &TestCase) -> String {
+fn command(sim: &mut Simulation, case: &TestCase) -> String {
     match case.directive.as_str() {
-        "start" => start(world, &hosts(case)),
-        "stop" => stop(world, &hosts(case)),
-        "join" => return join(world, &hosts(case)),
-        "cut" => cut(world, &hosts(case)),
-        "heal" => world.cuts.clear(),
-        "freeze" => world.freeze(&host(case), millis(case)),
-        "resign" => world.resign(&host(case)),
-        "run" => return run(world, millis(case)),
-        other => panic!("no directive {other}"),
+        "start" => start(sim, &hosts(case)),
+        "stop" => stop(sim, &hosts(case)),
+        "join" => return join(sim, &hosts(case)),
+        "cut" => cut(sim, &hosts(case)),
+        "heal" => sim.cut_links.clear(),
+        "freeze" => sim.freeze(&host(case), millis(case)),
+        "resign" => sim.resign(&host(case)),
+        "run" => return run(sim, millis(case)),
+        other => panic!("unknown directive: {other}"),
     }
     "ok".to_owned()
 }
 
-/// Starts hosts, which learn the members from a neighbour.
-fn start(world: &mut World, hosts: &[Name]) {
+/// Starts hosts and publishes the membership to them.
+fn start(sim: &mut Simulation, hosts: &[Name]) {
     for host in hosts {
-        world.start(host, TRUE_SPEED);
-        world.publish(host);
+        sim.start(host, TRUE_SPEED);
+        sim.publish_members(host);
     }
 }
 
-fn stop(world: &mut World, hosts: &[Name]) {
+fn stop(sim: &mut Simulation, hosts: &[Name]) {
     for host in hosts {
-        world.stop(host);
+        sim.stop(host);
     }
 }
 
-fn join(world: &mut World, hosts: &[Name]) -> String {
+fn join(sim: &mut Simulation, hosts: &[Name]) -> String {
     for host in hosts {
-        while !world.change(host, true) {
-            step(world);
+        while !sim.change_member(host, true) {
+            step(sim);
         }
-        let members: Vec<Name> = world.members.keys().cloned().collect();
+        let members: Vec<Name> = sim.members.keys().cloned().collect();
         for member in &members {
-            world.publish(member);
+            sim.publish_members(member);
         }
     }
-    while !world.log.settled {
-        step(world);
+    while !sim.log.settled {
+        step(sim);
     }
-    let names: Vec<&str> = world.log.members.iter().map(Name::as_str).collect();
+    let names: Vec<&str> = sim.log.members.iter().map(Name::as_str).collect();
     format!(
         "{} are members of epoch {}, settled",
         names.join(" "),
-        world.log.epoch
+        sim.log.epoch
     )
 }
 
-fn cut(world: &mut World, hosts: &[Name]) {
-    let others: Vec<Name> = world.members.keys().cloned().collect();
+fn cut(sim: &mut Simulation, hosts: &[Name]) {
+    let others: Vec<Name> = sim.members.keys().cloned().collect();
     for host in hosts {
         for other in others.iter().filter(|o| *o != host) {
-            world.cuts.insert((host.clone(), other.clone()));
-            world.cuts.insert((other.clone(), host.clone()));
+            sim.cut_links.insert((host.clone(), other.clone()));
+            sim.cut_links.insert((other.clone(), host.clone()));
         }
     }
 }
 
-fn run(world: &mut World, span: Duration) -> String {
-    let end = world.now + span;
-    while world.now < end {
-        step(world);
+fn run(sim: &mut Simulation, span: Duration) -> String {
+    let end = sim.now + span;
+    while sim.now < end {
+        step(sim);
     }
-    match world.leaders().first() {
+    match sim.leaders().first() {
         Some((host, _)) => format!("{host} leads"),
         None => "nobody leads".to_owned(),
     }
 }
 
-fn step(world: &mut World) {
-    world.step(STEP, || Some(DELAY));
-    assert_eq!(world.fault(), None);
+fn step(sim: &mut Simulation) {
+    sim.step(STEP, || Some(DELAY));
+    assert_eq!(sim.violation(), None);
 }
 
 fn hosts(case: &TestCase) -> Vec<Name> {
@@ -104,11 +104,11 @@
 
 fn host(case: &TestCase) -> Name {
     let value = case.args.get("host").and_then(|v| v.first());
-    Name::from(value.expect("host is named").as_str())
+    Name::from(value.expect("the host argument is missing").as_str())
 }
 
 fn millis(case: &TestCase) -> Duration {
     let value = case.args.get("millis").and_then(|v| v.first());
     let value = value.and_then(|v| v.parse().ok());
-    Duration::from_millis(value.expect("millis is a number"))
+    Duration::from_millis(value.expect("the millis argument is not a number"))
 }
--- a/crates/sequoiawing_cell/tests/cell/world.rs
+++ b/crates/sequoiawing_cell/tests/cell/simulation.rs
@@ -1,5 +1,5 @@
-//! Members of one cell under virtual time, with a network that loses, delays
-//! and cuts, and clocks that drift.
+//! Simulates the members of one cell under virtual time, with a network that
+//! loses and delays packets and has cut links, and with clocks that drift.
 
 use sequoiawing_cell::{
     Cell, CellAction, CellEvent, CellReply, CellRequest, CellSettings, ShareCount, Version,
@@ -10,20 +10,20 @@
     time::Duration,
 };
 
-/// A fault that the checker must catch.
+/// A fault in the implementation that the checker must detect.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) enum Planted {
-    /// The code as it is.
+pub(crate) enum InjectedFault {
+    /// No fault.
     #[default]
     None,
-    /// A member that starts again does not wait.
-    NoSilence,
-    /// The bound on the drift of clocks is not taken off.
-    NoDrift,
-    /// A member promises to everyone who asks.
-    ManyPromises,
-    /// The log changes members before the former change has settled.
-    NoSettling,
+    /// A restarted member does not wait for its earlier promises to expire.
+    NoStartupWait,
+    /// The lease time does not allow for clock drift.
+    IgnoredDrift,
+    /// A member grants every promise.
+    GrantsAll,
+    /// The log changes the membership before the previous change has settled.
+    UnsettledChange,
 }
 
 enum Payload {
@@ -40,14 +40,14 @@
 
 pub(crate) struct Member {
     cell: Cell,
-    /// Local microseconds for each thousand of true time.
+    /// The local microseconds per thousand microseconds of true time.
     speed: u64,
     frozen: Time,
     alive: bool,
     resigned: bool,
 }
 
-/// The cell as the log has it.
+/// The log's view of the cell.
 #[derive(Default)]
 pub(crate) struct Log {
     pub(crate) epoch: u64,
@@ -55,35 +55,35 @@
     pub(crate) members: BTreeSet<Name>,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) now: Time,
     pub(crate) log: Log,
     pub(crate) members: BTreeMap<Name, Member>,
-    pub(crate) cuts: BTreeSet<(Name, Name)>,
-    pub(crate) planted: Planted,
+    pub(crate) cut_links: BTreeSet<(Name, Name)>,
+    pub(crate) injected: InjectedFault,
     pub(crate) led: Vec<(Name, u64)>,
     packets: Vec<Packet>,
     settings: CellSettings,
 }
 
-impl World {
-    pub(crate) fn new(planted: Planted) -> Self {
+impl Simulation {
+    pub(crate) fn new(injected: InjectedFault) -> Self {
         Self {
             now: Time::from_millis(1),
             log: Log::default(),
             members: BTreeMap::new(),
-            cuts: BTreeSet::new(),
-            planted,
+            cut_links: BTreeSet::new(),
+            injected,
             led: Vec::new(),
             packets: Vec::new(),
             settings: CellSettings::default(),
         }
     }
 
-    /// Starts a host, or starts it again without memory.
+    /// Starts a host, or restarts it without its state.
     pub(crate) fn start(&mut self, host: &Name, speed: u64) {
         let settings = CellSettings {
-            drift: if self.planted == Planted::NoDrift {
+            drift: if self.injected == InjectedFault::IgnoredDrift {
                 0
             } else {
                 self.settings.drift
@@ -91,8 +91,8 @@
             ..self.settings.clone()
         };
         let local = local(self.now, speed);
-        let started = match self.planted {
-            Planted::NoSilence => Time::ZERO,
+        let started = match self.injected {
+            InjectedFault::NoStartupWait => Time::ZERO,
             _ => local,
         };
         let floor = self.now.as_micros() / 1_000;
@@ -127,10 +127,11 @@
         self.handle(host, CellEvent::Resign, None);
     }
 
-    /// Commits a change of the members, if the former one has settled.
-    pub(crate) fn change(&mut self, host: &Name, add: bool) -> bool {
+    /// Commits the addition or removal of a member if the previous change has
+    /// settled.
+    pub(crate) fn change_member(&mut self, host: &Name, add: bool) -> bool {
         let may = self.log.settled || self.log.members.is_empty();
-        let may = may || self.planted == Planted::NoSettling;
+        let may = may || self.injected == InjectedFault::UnsettledChange;
         let last = !add && self.log.members.len() == 1;
         if !may || last {
             return false;
@@ -147,8 +148,8 @@
         changed
     }
 
-    /// Lets a host learn what the log has.
-    pub(crate) fn publish(&mut self, host: &Name) {
+    /// Sends the membership in the log to a host.
+    pub(crate) fn publish_members(&mut self, host: &Name) {
         let event = CellEvent::Members {
             epoch: self.log.epoch,
             members: self.log.members.clone(),
@@ -156,7 +157,8 @@
         self.handle(host, event, None);
     }
 
-    /// Lets time pass in steps, delivering packets and ticking members.
+    /// Advances the time by one step, delivers due packets and ticks all
+    /// members.
     pub(crate) fn step<D>(&mut self, span: Duration, mut delay: D)
     where
         D: FnMut() -> Option<Duration>,
@@ -177,7 +179,7 @@
 
     fn deliver(&mut self, packet: Packet, delay: &mut dyn FnMut() -> Option<Duration>) {
         if self
-            .cuts
+            .cut_links
             .contains(&(packet.from.clone(), packet.to.clone()))
         {
             return;
@@ -240,17 +242,17 @@
         asker: Option<&Name>,
     ) {
         match action {
-            CellAction::Ask { to, request } => {
+            CellAction::Send { to, request } => {
                 self.send(host, &to, Payload::Request(request), delay());
             }
-            CellAction::Answer(mut reply) => {
-                reply.granted |= self.planted == Planted::ManyPromises;
+            CellAction::Reply(mut reply) => {
+                reply.granted |= self.injected == InjectedFault::GrantsAll;
                 if let Some(asker) = asker {
                     self.send(host, asker, Payload::Reply(reply), delay());
                 }
             }
-            CellAction::Led { term } => self.led.push((host.clone(), term)),
-            CellAction::Lost => {}
+            CellAction::LeaseAcquired { term } => self.led.push((host.clone(), term)),
+            CellAction::LeaseLost => {}
             CellAction::Settled { epoch } => {
                 if epoch == self.log.epoch {
                     self.log.settled = true;
@@ -270,8 +272,8 @@
         }
     }
 
-    /// Returns the hosts whose lease is valid by their own clocks. A frozen
-    /// host cannot order anything and is left out.
+    /// Returns the hosts with a valid lease by their own clocks, and their
+    /// terms. A frozen host cannot send orders and is left out.
     pub(crate) fn leaders(&self) -> Vec<(Name, u64)> {
         let valid = self
             .members
@@ -285,12 +287,12 @@
             .collect()
     }
 
-    /// Has the leader record how many replicas of the one model may be held, and
-    /// returns the version.
+    /// Submits a record of the number of replicas of one model at the leader,
+    /// and returns its version.
     pub(crate) fn record(&mut self, host: &Name, number: u64, count: u32) -> Version {
         let leaders = self.leaders();
         let leader = leaders.iter().find(|(leader, _)| leader == host);
-        let (_, term) = *leader.expect("the host leads");
+        let (_, term) = *leader.expect("the host does not lead");
         let version = Version { term, number };
         let counts = vec![ShareCount {
             pool: Name::from("captions"),
@@ -301,24 +303,24 @@
         version
     }
 
-    /// Returns how many replicas a leader knows that may be held.
+    /// Returns the recorded number of replicas that a leader knows.
     pub(crate) fn share(&self, host: &Name) -> Option<u32> {
         let member = &self.members[host];
         let record = member.cell.shares(local(self.now, member.speed))?;
         Some(record.counts.iter().map(|c| c.count).sum())
     }
 
-    /// Reports whether a majority remembers the version.
+    /// Returns whether a majority has stored the version.
     pub(crate) fn is_recorded(&self, host: &Name, version: Version) -> bool {
         let member = &self.members[host];
         let recorded = member.cell.recorded(local(self.now, member.speed));
         recorded >= Some(version)
     }
 
-    /// Ends all disturbances: every member runs, hears the others and knows the
-    /// members of the log.
-    pub(crate) fn calm(&mut self) {
-        self.cuts.clear();
+    /// Ends all faults: starts all members, restores all links and publishes
+    /// the membership.
+    pub(crate) fn heal(&mut self) {
+        self.cut_links.clear();
         let hosts: Vec<Name> = self.members.keys().cloned().collect();
         for host in &hosts {
             let member = &self.members[host];
@@ -329,12 +331,12 @@
             if let Some(member) = self.members.get_mut(host) {
                 member.frozen = Time::ZERO;
             }
-            self.publish(host);
+            self.publish_members(host);
         }
     }
 
     /// Returns the members that do not follow the one leader.
-    pub(crate) fn strays(&self) -> Vec<Name> {
+    pub(crate) fn members_without_leader(&self) -> Vec<Name> {
         let leaders = self.leaders();
         let follows = |member: &Member| {
             let leader = member.cell.leader(local(self.now, member.speed));
@@ -347,15 +349,15 @@
             .collect()
     }
 
-    /// Returns what is wrong, if two hosts lead at once or a term was led twice.
-    pub(crate) fn fault(&self) -> Option<String> {
+    /// Returns a violation if two hosts lead at once or a term was led twice.
+    pub(crate) fn violation(&self) -> Option<String> {
         let leaders = self.leaders();
         if leaders.len() > 1 {
-            return Some(format!("{leaders:?} lead at once at {}", self.now));
+            return Some(format!("two leaders at {}: {leaders:?}", self.now));
         }
         let mut terms = BTreeSet::new();
         let twice = self.led.iter().find(|(_, term)| !terms.insert(*term));
-        twice.map(|(host, term)| format!("term {term} was led again by {host}"))
+        twice.map(|(host, term)| format!("term {term} was acquired a second time, by {host}"))
     }
 }
 
--- a/crates/sequoiawing_router/src/controllers/lease.rs
+++ b/crates/sequoiawing_router/src/controllers/lease.rs
@@ -65,19 +65,19 @@
         cell.handle(now, CellEvent::Request(request), &mut out);
         *self.leader.write() = cell.leader(now).cloned();
         out.into_iter().find_map(|action| match action {
-            CellAction::Answer(reply) => Some(reply),
+            CellAction::Reply(reply) => Some(reply),
             _ => None,
         })
     }
 
     fn cell_action(self: &Arc<Self>, action: CellAction) {
         match action {
-            CellAction::Ask { to, request } => self.ask_member(&to, request),
-            CellAction::Answer(_) => {}
-            CellAction::Led { term } => {
+            CellAction::Send { to, request } => self.ask_member(&to, request),
+            CellAction::Reply(_) => {}
+            CellAction::LeaseAcquired { term } => {
                 log::info!(target: "cell", "This host leads its data centre in term {term}.");
             }
-            CellAction::Lost => {
+            CellAction::LeaseLost => {
                 log::warn!(target: "cell", "This host does not lead its data centre any more.");
             }
             CellAction::Settled { epoch } => self.settle_epoch(epoch),
