--- a/crates/sequoiawing_policy/src/keep_alive/gap_histogram.rs
+++ b/crates/sequoiawing_policy/src/keep_alive/gap_histogram.rs
@@ -30,7 +30,6 @@
 }
 
 impl GapHistogram {
-    /// Adds a gap.
     pub(crate) fn add(&mut self, gap: Duration) {
         let secs = gap.as_secs_f32();
         let bucket = &mut self.counts[bucket_of(secs)];
--- a/crates/sequoiawing_policy/src/place/adapter_plan.rs
+++ b/crates/sequoiawing_policy/src/place/adapter_plan.rs
@@ -51,7 +51,7 @@
         let unloads = |o: &PendingOrder| {
             o.target == target && matches!(o.order.kind, OrderKind::Unload { .. })
         };
-        let staying = |r: &&Runner| {
+        let keeps_model = |r: &&Runner| {
             let mut orders = self.orders.iter().filter(|o| o.upstream == r.state.name);
             !orders.any(unloads) && !r.is_backing_off(now, adapter)
         };
@@ -60,7 +60,7 @@
             let running = r.state.running * 100 / r.state.slots.max(1);
             (orders.count(), running)
         };
-        let best = usable.filter(staying).min_by_key(load);
+        let best = usable.filter(keeps_model).min_by_key(load);
         best.map(|r| r.state.name.clone())
     }
 }
--- a/crates/sequoiawing_policy/src/place/announcements.rs
+++ b/crates/sequoiawing_policy/src/place/announcements.rs
@@ -54,11 +54,11 @@
         for name in &state.active {
             self.policies.keep_alive.record_use(now, name);
         }
-        self.settle(now, state);
+        self.complete_orders(now, state);
     }
 
     /// Completes the orders whose outcome the announcement shows.
-    fn settle(&mut self, now: Time, state: &UpstreamState) {
+    fn complete_orders(&mut self, now: Time, state: &UpstreamState) {
         let lifetime = self.settings.order_lifetime;
         let runner = self.runners.get(&state.name);
         let stable_since = runner.map_or(now, |r| r.stable_since);
@@ -75,13 +75,13 @@
         }
         for (id, outcome) in finished {
             if let Some(order) = self.orders.remove(id) {
-                self.finish(now, &order, outcome);
+                self.apply_outcome(now, &order, outcome);
             }
         }
     }
 
     /// Updates failures, load times and keep-alive with an order's outcome.
-    fn finish(&mut self, now: Time, order: &PendingOrder, outcome: OrderOutcome) {
+    fn apply_outcome(&mut self, now: Time, order: &PendingOrder, outcome: OrderOutcome) {
         let model = &order.target.1;
         match &order.order.kind {
             OrderKind::Load { .. } => {
@@ -124,7 +124,7 @@
                     return;
                 }
                 if let Some(order) = self.orders.remove(id) {
-                    self.finish(now, &order, OrderOutcome::Failed);
+                    self.apply_outcome(now, &order, OrderOutcome::Failed);
                 }
             }
         }
@@ -217,7 +217,7 @@
             .filter(|(_, c, _)| *c == CheckpointLocation::Remote);
         let mut ratios: Vec<f64> = remote.map(|(_, _, ratio)| *ratio).collect();
         ratios.sort_by(f64::total_cmp);
-        self.load_times.set_running(&ratios);
+        self.load_times.update_running(&ratios);
         for (id, checkpoint, ratio) in loads {
             let slowness = match checkpoint {
                 CheckpointLocation::Remote => self.load_times.slowness(),
--- a/crates/sequoiawing_policy/src/place/load_times.rs
+++ b/crates/sequoiawing_policy/src/place/load_times.rs
@@ -122,7 +122,7 @@
     /// Updates the slowness from the running loads from the store: the ratios
     /// of elapsed to usual time, in ascending order. The highest may be a hung
     /// load, so the second highest is used.
-    pub(crate) fn set_running(&mut self, ratios: &[f64]) {
+    pub(crate) fn update_running(&mut self, ratios: &[f64]) {
         let second = ratios.len().checked_sub(2).map(|i| ratios[i]);
         self.running_slowness = second.unwrap_or(1.0).max(1.0);
     }
--- a/crates/sequoiawing_policy/src/place/placement_search.rs
+++ b/crates/sequoiawing_policy/src/place/placement_search.rs
@@ -14,8 +14,8 @@
             return false;
         };
         let mut runners = self.runners.values().filter(|r| r.state.pool == *pool);
-        let is_clear = now >= self.led_since + leadership.discovery_wait;
-        is_clear && runners.all(|r| r.is_synced(now, leadership, self.led_since))
+        let is_discovered = now >= self.led_since + leadership.discovery_wait;
+        is_discovered && runners.all(|r| r.is_synced(now, leadership, self.led_since))
     }
 
     /// Returns the upstreams that could load a replica now or after evictions.
--- a/crates/sequoiawing_policy/src/place/placer.rs
+++ b/crates/sequoiawing_policy/src/place/placer.rs
@@ -88,7 +88,7 @@
     pub(crate) evictions: BTreeMap<Target, (Name, Time)>,
     /// The models that are kept loaded until a given time regardless of use.
     pub(crate) pinned: BTreeMap<Target, Time>,
-    pub(crate) reported: (u32, u32),
+    pub(crate) reported_demand: (u32, u32),
     pub(crate) adapter_cursor: usize,
 }
 
@@ -116,7 +116,7 @@
             credits,
             evictions: BTreeMap::new(),
             pinned: BTreeMap::new(),
-            reported: (0, 0),
+            reported_demand: (0, 0),
             adapter_cursor: 0,
         }
     }
@@ -272,8 +272,8 @@
         let loads = u32::try_from(waiting).unwrap_or(u32::MAX) + self.store_loads();
         let adapters = self.orders.iter().filter(|o| o.is_adapter_load()).count();
         let adapters = u32::try_from(adapters + self.adapters.len()).unwrap_or(u32::MAX);
-        if self.reported != (loads, adapters) {
-            self.reported = (loads, adapters);
+        if self.reported_demand != (loads, adapters) {
+            self.reported_demand = (loads, adapters);
             out.push(PlaceAction::ReportDemand { loads, adapters });
         }
     }
--- a/crates/sequoiawing_policy/src/place/store_usage.rs
+++ b/crates/sequoiawing_policy/src/place/store_usage.rs
@@ -21,10 +21,10 @@
     /// Returns whether the effects of all orders of earlier leaders are known.
     pub fn is_synced(&self, now: Time) -> bool {
         let mut pools = self.runners.values().map(|r| &r.state.pool);
-        let is_clear = self
+        let is_discovered = self
             .leadership
             .is_some_and(|l| now >= self.led_since + l.discovery_wait);
-        is_clear && pools.all(|p| self.is_pool_synced(now, p))
+        is_discovered && pools.all(|p| self.is_pool_synced(now, p))
     }
 
     /// Returns the data centre's use of the fleet's load budgets.
