--- a/crates/sequoiawing_gateway/src/attempt.rs
+++ b/crates/sequoiawing_gateway/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt to have a request answered by one upstream.
+//! A single attempt to send a request to an upstream.
 
-use crate::{Attempt, GatewayExchange, GatewayState, Judged, waiting::Slot};
+use crate::{Attempt, GatewayExchange, GatewayState, ResponseKind, slots::Slot};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::{Request, Response, Uri, http::response::Parts};
@@ -10,71 +10,77 @@
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
 
-/// The largest answer that is read whole before it is passed on, in bytes.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// The maximum size of a buffered response body, in bytes.
+const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
 
-/// An upstream's answer.
-pub(crate) enum Answered {
-    /// A stream of events that has just begun.
+/// An upstream's response.
+pub(crate) enum UpstreamResponse {
+    /// An event stream whose head has been received.
     Stream(Parts, ClientBody, Slot),
-    /// An answer that was read whole.
-    Whole(Parts, Bytes),
+    /// A response with its complete body.
+    Buffered(Parts, Bytes),
 }
 
-/// Why an attempt brought no answer.
+/// The reason why an attempt produced no response.
 #[derive(Debug)]
-pub(crate) enum Failed {
-    /// Not a byte was sent.
+pub(crate) enum AttemptError {
+    /// No byte of the request was sent.
     NotSent(String),
-    /// The upstream says that it did not run the request.
-    NotRun(Judged),
+    /// The upstream reported that it did not run the request.
+    NotRun(ResponseKind),
     /// The request may have run.
     MayHaveRun(String),
-    /// The time was up; the request may have run.
+    /// The request's deadline passed; it may have run.
     TimedOut,
 }
 
-/// Sends a request to an upstream and waits for its answer: of a stream, for
-/// the head. With `patience` the upstream is given up on sooner than the
-/// request.
+/// Sends a request to an upstream and waits for its response, or for the head
+/// of a stream.
+///
+/// With `silence_timeout` the attempt may fail before the request's deadline,
+/// so that another upstream can be tried.
 pub(crate) async fn send(
     state: &Arc<GatewayState>,
     exchange: &GatewayExchange,
     slot: Slot,
-    resume: Option<u64>,
-    patience: Option<Duration>,
-) -> Result<Answered, Failed> {
-    let left = exchange.left(state.now());
-    let patience = patience.filter(|p| *p < left);
+    last_event_id: Option<u64>,
+    silence_timeout: Option<Duration>,
+) -> Result<UpstreamResponse, AttemptError> {
+    let remaining = exchange.remaining(state.now());
+    let silence_timeout = silence_timeout.filter(|limit| *limit < remaining);
     let mut slot = slot;
-    let answering = answer(state, exchange, &mut slot, resume);
-    let (ended, result) = match timeout(patience.unwrap_or(left), Box::pin(answering)).await {
-        None if patience.is_some() => {
-            let cause = "the upstream is silent".to_owned();
-            (Ended::Missed, Err(Failed::MayHaveRun(cause)))
-        }
-        None => (Ended::Failed, Err(Failed::TimedOut)),
-        Some(Ok(Head::Stream(parts, body))) => return Ok(Answered::Stream(parts, body, slot)),
-        Some(Ok(Head::Whole(parts, bytes))) => {
-            let is_failure = parts.status.is_server_error();
-            let ended = if is_failure {
-                Ended::Failed
-            } else {
-                Ended::Well
-            };
-            (ended, Ok(Answered::Whole(parts, bytes)))
-        }
-        Some(Err(failed)) => (failed.ended(), Err(failed)),
-    };
-    slot.end(ended);
+    let receiving = receive(state, exchange, &mut slot, last_event_id);
+    let (ended, result) =
+        match timeout(silence_timeout.unwrap_or(remaining), Box::pin(receiving)).await {
+            None if silence_timeout.is_some() => {
+                let cause = "the upstream is silent".to_owned();
+                (Ended::Missed, Err(AttemptError::MayHaveRun(cause)))
+            }
+            None => (Ended::Failed, Err(AttemptError::TimedOut)),
+            Some(Ok(Received::Stream(parts, body))) => {
+                return Ok(UpstreamResponse::Stream(parts, body, slot));
+            }
+            Some(Ok(Received::Buffered(parts, bytes))) => {
+                let is_server_error = parts.status.is_server_error();
+                let ended = if is_server_error {
+                    Ended::Failed
+                } else {
+                    Ended::Well
+                };
+                (ended, Ok(UpstreamResponse::Buffered(parts, bytes)))
+            }
+            Some(Err(error)) => (error.ended(), Err(error)),
+        };
+    slot.release(ended);
     result
 }
 
-impl Failed {
+impl AttemptError {
+    /// Returns the outcome that the balancer records for the upstream.
     fn ended(&self) -> Ended {
         match self {
-            Self::NotRun(Judged::Full) => Ended::Full,
-            Self::NotRun(Judged::Lacking) => Ended::Lacking,
+            Self::NotRun(ResponseKind::Full) => Ended::Full,
+            Self::NotRun(ResponseKind::Lacking) => Ended::Lacking,
             Self::TimedOut => Ended::Failed,
             Self::MayHaveRun(_) => Ended::Broken,
             Self::NotSent(_) | Self::NotRun(_) => Ended::Missed,
@@ -82,80 +88,80 @@
     }
 }
 
-enum Head {
+enum Received {
     Stream(Parts, ClientBody),
-    Whole(Parts, Bytes),
+    Buffered(Parts, Bytes),
 }
 
-async fn answer(
+async fn receive(
     state: &Arc<GatewayState>,
     exchange: &GatewayExchange,
     slot: &mut Slot,
-    resume: Option<u64>,
-) -> Result<Head, Failed> {
-    let request = build(state, exchange, slot, resume)?;
+    last_event_id: Option<u64>,
+) -> Result<Received, AttemptError> {
+    let request = build_request(state, exchange, slot, last_event_id)?;
     let address = slot.assigned.address;
-    let kind = exchange.route.repeat;
-    // A kept connection may be closed by the upstream at the moment of
-    // sending, and then nobody knows whether the request ran.
-    let sent = if kind == Repeat::Once {
+    let repeat = exchange.route.repeat;
+    // The upstream may close a pooled connection while the request is being
+    // sent, which leaves unknown whether the request ran.
+    let sent = if repeat == Repeat::Once {
         state.client.send_anew(address, request).await
     } else {
         state.client.send(address, request).await
     };
     let response = sent.map_err(|error| match error {
-        ClientError::NotSent(cause) => Failed::NotSent(cause),
-        error => Failed::MayHaveRun(error.to_string()),
+        ClientError::NotSent(cause) => AttemptError::NotSent(cause),
+        error => AttemptError::MayHaveRun(error.to_string()),
     })?;
     let (parts, body) = response.into_parts();
-    let heard = state.dialect.judge(
-        &exchange.call,
+    let head = state.dialect.classify(
+        &exchange.meta,
         slot.upstream(),
         parts.status,
         &parts.headers,
     );
-    if let Some(load) = heard.load {
-        slot.report(load);
+    if let Some(load) = head.load {
+        slot.report_load(load);
     }
-    match heard.judged {
-        Judged::Answer => {}
-        Judged::Foreign => {
+    match head.kind {
+        ResponseKind::Answer => {}
+        ResponseKind::Foreign => {
             body.discard();
-            return Err(Failed::MayHaveRun(
+            return Err(AttemptError::MayHaveRun(
                 "the answer is not to this request".to_owned(),
             ));
         }
-        judged => {
-            drain(body).await;
-            return Err(Failed::NotRun(judged));
+        kind => {
+            drain_body(body).await;
+            return Err(AttemptError::NotRun(kind));
         }
     }
-    if kind.is_stream() && parts.status.is_success() {
-        return Ok(Head::Stream(parts, body));
+    if repeat.is_stream() && parts.status.is_success() {
+        return Ok(Received::Stream(parts, body));
     }
-    match Limited::new(body, ANSWER_BYTES).collect().await {
-        Ok(whole) => Ok(Head::Whole(parts, whole.to_bytes())),
-        Err(error) => Err(Failed::MayHaveRun(error.to_string())),
+    match Limited::new(body, MAX_BUFFERED_BYTES).collect().await {
+        Ok(body) => Ok(Received::Buffered(parts, body.to_bytes())),
+        Err(error) => Err(AttemptError::MayHaveRun(error.to_string())),
     }
 }
 
-/// Reads the rest of a refusal, so that its connection can be kept.
-async fn drain(body: ClientBody) {
-    if let Err(error) = Limited::new(body, ANSWER_BYTES).collect().await {
-        log::debug!(target: "gateway", "A refusal broke off: {error}.");
+/// Reads a refusal's body to its end so that the connection can be reused.
+async fn drain_body(body: ClientBody) {
+    if let Err(error) = Limited::new(body, MAX_BUFFERED_BYTES).collect().await {
+        log::debug!(target: "gateway", "Failed to read the rest of a refusal from an upstream: {error}.");
     }
 }
 
-fn build(
+fn build_request(
     state: &GatewayState,
     exchange: &GatewayExchange,
     slot: &Slot,
-    resume: Option<u64>,
-) -> Result<Request<Body>, Failed> {
+    last_event_id: Option<u64>,
+) -> Result<Request<Body>, AttemptError> {
     let path = exchange.uri.path_and_query().map_or("/", |p| p.as_str());
     let uri: Uri = path
         .parse()
-        .map_err(|e| Failed::NotSent(format!("the path: {e}")))?;
+        .map_err(|e| AttemptError::NotSent(format!("the path: {e}")))?;
     let body = if exchange.body.is_empty() {
         empty()
     } else {
@@ -167,16 +173,18 @@
     *request.headers_mut() = exchange.headers.clone();
     let attempt = Attempt {
         upstream: slot.upstream(),
-        left: exchange.left(state.now()),
+        remaining: exchange.remaining(state.now()),
         customer: exchange.customer.as_ref().map(|c| &c.name),
-        resume: resume.or(exchange.call.resume),
+        last_event_id: last_event_id.or(exchange.meta.last_event_id),
     };
-    state.dialect.address(request.headers_mut(), &attempt);
+    state
+        .dialect
+        .add_attempt_headers(request.headers_mut(), &attempt);
     Ok(request)
 }
 
-/// Builds the caller's answer out of an upstream's that was read whole.
-pub(crate) fn whole_response(mut parts: Parts, bytes: Bytes) -> Response<Body> {
+/// Builds the response to the caller from a buffered upstream response.
+pub(crate) fn buffered_response(mut parts: Parts, bytes: Bytes) -> Response<Body> {
     sequoiawing_http::remove_hop_headers(&mut parts.headers);
     parts.headers.remove(hyper::header::CONTENT_LENGTH);
     Response::from_parts(parts, from_bytes(bytes))
--- a/crates/sequoiawing_gateway/src/daemon.rs
+++ b/crates/sequoiawing_gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-use crate::{Dialect, GatewayExchange, GatewaySettings, GatewayState, filters, follow};
+use crate::{Dialect, GatewayExchange, GatewaySettings, GatewayState, filters, hub_sync};
 use hyper::{Request, Response, StatusCode, body::Incoming};
 use sequoiawing_http::{Body, Handler, HttpListener, HttpSettings, from_bytes};
 use sequoiawing_router::{Chain, Code, Refused};
@@ -11,44 +11,45 @@
     time::Duration,
 };
 
-/// How long a connection of a caller may be idle, or a request's headers may
-/// take; longer than callers keep one by the bounds that operators set.
-const HEADER_LIMIT: Duration = Duration::from_secs(30);
+/// How long a caller's connection may be idle, or a request's headers may take
+/// to arrive. It exceeds the time for which callers keep idle connections under
+/// the bounds that operators set.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often the health check may be asked on one connection at the end.
-const READY_DRAIN: Duration = Duration::from_millis(200);
+/// How long shutdown waits for open connections of the readiness check.
+const READY_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A running gateway.
 pub struct Gateway {
     state: Arc<GatewayState>,
     callers: SocketAddr,
-    closing: Shutdown,
+    accept_shutdown: Shutdown,
     shutdown: Shutdown,
     callers_task: Task<usize>,
-    following: Task<()>,
+    hub_task: Task<()>,
 }
 
 impl Gateway {
-    /// Starts a gateway.
+    /// Starts a gateway and binds its listeners.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system when an address is taken.
+    /// Returns the I/O error when an address cannot be bound.
     pub async fn start(settings: GatewaySettings, dialect: Arc<dyn Dialect>) -> io::Result<Self> {
-        let bounds = HttpSettings {
+        let http_settings = HttpSettings {
             connections: settings.connections,
-            header_limit: HEADER_LIMIT,
+            header_limit: HEADER_TIMEOUT,
             drain_limit: Duration::from_millis(settings.drain),
             ..HttpSettings::default()
         };
-        let callers = HttpListener::bind(settings.callers, bounds).await?;
-        let ready_bounds = HttpSettings {
-            drain_limit: READY_DRAIN,
+        let callers = HttpListener::bind(settings.callers, http_settings).await?;
+        let ready_settings = HttpSettings {
+            drain_limit: READY_DRAIN_TIMEOUT,
             ..HttpSettings::default()
         };
-        let ready = HttpListener::bind(settings.ready, ready_bounds).await?;
-        let callers_at = callers.address()?;
-        let (closing, shutdown) = (Shutdown::new(), Shutdown::new());
+        let ready = HttpListener::bind(settings.ready, ready_settings).await?;
+        let callers_address = callers.address()?;
+        let (accept_shutdown, shutdown) = (Shutdown::new(), Shutdown::new());
         let state = Arc::new(GatewayState::new(settings, dialect));
         let ready_handler = ReadyHandler {
             state: state.clone(),
@@ -58,38 +59,38 @@
             state: state.clone(),
             chain: filters::chain(&state),
         };
-        let callers_task = spawn(callers.serve(Arc::new(handler), closing.clone()));
+        let callers_task = spawn(callers.serve(Arc::new(handler), accept_shutdown.clone()));
         let metrics = state.settings.metrics.zip(state.meters.clone());
         if let Some((address, meters)) = metrics {
             serve_metrics(address, meters, shutdown.clone()).await?;
         }
-        let following = spawn(follow::follow_hubs(state.clone(), shutdown.clone()));
+        let hub_task = spawn(hub_sync::sync_with_hubs(state.clone(), shutdown.clone()));
         log::info!(
-            target: "gateway", callers = callers_at.to_string(),
+            target: "gateway", callers = callers_address.to_string(),
             incarnation = state.incarnation;
             "Started."
         );
         Ok(Self {
             state,
-            callers: callers_at,
-            closing,
+            callers: callers_address,
+            accept_shutdown,
             shutdown,
             callers_task,
-            following,
+            hub_task,
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address at which the gateway accepts callers' requests.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns what filters and controllers share.
+    /// Returns the state shared by the gateway's filters and tasks.
     pub fn state(&self) -> &Arc<GatewayState> {
         &self.state
     }
 
-    /// Adds hubs to those that are followed.
+    /// Adds hubs to those that the gateway connects to.
     pub fn add_hubs<I>(&self, hubs: I)
     where
         I: IntoIterator<Item = SocketAddr>,
@@ -101,16 +102,16 @@
         }
     }
 
-    /// Stops without cutting a request: fails the readiness check, waits for
-    /// the balancer, takes no more connections and waits for open requests.
+    /// Shuts down gracefully: fails the readiness check, gives the load balancer
+    /// time to notice, stops accepting connections and waits for open requests.
     pub async fn stop(self) {
-        log::info!(target: "gateway", open = self.state.open.load(Ordering::Relaxed); "Stopping.");
-        self.state.leaving.store(true, Ordering::Relaxed);
+        log::info!(target: "gateway", open = self.state.open_requests.load(Ordering::Relaxed); "Stopping.");
+        self.state.is_stopping.store(true, Ordering::Relaxed);
         sleep(Duration::from_millis(self.state.settings.farewell)).await;
-        self.closing.start();
+        self.accept_shutdown.start();
         let abandoned = self.callers_task.await;
         self.shutdown.start();
-        self.following.await;
+        self.hub_task.await;
         log::info!(target: "gateway", abandoned = abandoned; "Stopped.");
     }
 }
@@ -138,51 +139,53 @@
     chain: Chain<GatewayExchange>,
 }
 
-fn log_refusal(exchange: &GatewayExchange, refused: &Refused, took: Duration) {
+fn log_refusal(exchange: &GatewayExchange, refused: &Refused, elapsed: Duration) {
     log::info!(
-        target: "gateway", request = exchange.call.id.as_str(),
+        target: "gateway", request = exchange.meta.id.as_str(),
         route = exchange.route.name.as_str(), version = exchange.index.version(),
         model = exchange.model(), customer = exchange.customer(),
         code = format!("{:?}", refused.code), ran = refused.ran.as_str(),
         cause = refused.message.as_str(),
         retry_ms = refused.retry.map(|r| u64::try_from(r.as_millis()).unwrap_or(u64::MAX)),
-        took_ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
-        "A request is refused."
+        took_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
+        "Request refused."
     );
 }
 
-/// Counts a request until its answer begins.
-struct OpenRequest<'a>(&'a GatewayState);
+/// Counts a request as open until its response begins.
+struct OpenRequestGuard<'a>(&'a GatewayState);
 
-impl Drop for OpenRequest<'_> {
+impl Drop for OpenRequestGuard<'_> {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Handler for CallerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let state = &self.state;
-        state.open.fetch_add(1, Ordering::Relaxed);
-        let _open = OpenRequest(state);
+        state.open_requests.fetch_add(1, Ordering::Relaxed);
+        let _guard = OpenRequestGuard(state);
         let mut exchange = GatewayExchange::new(state.now(), state.index(), request);
         let arrival = exchange.arrival;
-        let answered = self.chain.run(&mut exchange).await;
-        let took = state.now().since(arrival);
-        let response = match answered {
+        let result = self.chain.run(&mut exchange).await;
+        let elapsed = state.now().since(arrival);
+        let response = match result {
             Ok(response) => response,
             Err(refused) => {
-                log_refusal(&exchange, &refused, took);
-                state.dialect.refuse(&refused, Some(&exchange.call.id))
+                log_refusal(&exchange, &refused, elapsed);
+                state
+                    .dialect
+                    .refusal_response(&refused, Some(&exchange.meta.id))
             }
         };
         if let Some(meters) = &state.meters {
             let asked = Asked {
                 customer: exchange.customer().into(),
                 route: exchange.route.name.clone(),
-                model: exchange.call.model.clone().unwrap_or_default(),
+                model: exchange.meta.model.clone().unwrap_or_default(),
             };
-            meters.answered(&asked, response.status().as_u16(), took);
+            meters.answered(&asked, response.status().as_u16(), elapsed);
         }
         response
     }
--- a/crates/sequoiawing_gateway/src/dialect.rs
+++ b/crates/sequoiawing_gateway/src/dialect.rs
@@ -5,97 +5,102 @@
 use sequoiawing_types::Name;
 use std::{sync::Arc, time::Duration};
 
-/// What a request's headers say of it.
+/// The metadata that a request carries in its headers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Call {
-    /// Names the request; the upstream's answer names it as well.
+pub struct RequestMeta {
+    /// The request's id, which the upstream's response repeats.
     pub id: Name,
-    /// The key that came with it.
+    /// The caller's API key.
     pub key: Option<Arc<str>>,
-    /// How long the caller waits for the end of the answer.
+    /// How long the caller waits for the complete response.
     pub deadline: Option<Duration>,
-    /// The model.
+    /// The requested model.
     pub model: Option<Name>,
-    /// The adapter, as `model:adapter`.
+    /// The requested adapter, as `model:adapter`.
     pub adapter: Option<Name>,
-    /// The tokens of the prompt and the most tokens of the answer.
+    /// The prompt's tokens and the maximum number of completion tokens.
     pub tokens: Option<(u64, u64)>,
-    /// The parts of the prompt in their order.
+    /// The parts of the prompt, in order.
     pub parts: Arc<[PromptPart]>,
-    /// The last event that the caller has of the stream.
-    pub resume: Option<u64>,
+    /// The id of the last event that the caller received of the stream.
+    pub last_event_id: Option<u64>,
 }
 
-impl Call {
-    /// Returns all tokens that the request declares.
+impl RequestMeta {
+    /// Returns the sum of prompt and completion tokens that the request
+    /// declares.
     pub fn total_tokens(&self) -> Option<u64> {
         self.tokens
             .map(|(prompt, answer)| prompt.saturating_add(answer))
     }
 }
 
-/// One sending of a request to one upstream.
+/// An attempt to send a request to an upstream.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
-    /// The upstream that is meant; any other at its address must refuse.
+    /// The intended upstream; any other at its address must refuse.
     pub upstream: &'a Name,
-    /// The time that is left.
-    pub left: Duration,
-    /// The customer; none on open routes.
+    /// The time until the request's deadline.
+    pub remaining: Duration,
+    /// The customer; `None` on open routes.
     pub customer: Option<&'a Name>,
-    /// The last event of the stream that the upstream goes on behind.
-    pub resume: Option<u64>,
+    /// The id of the event after which the upstream resumes the stream.
+    pub last_event_id: Option<u64>,
 }
 
-/// What the head of an upstream's answer means.
+/// The meaning of the head of an upstream's response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Judged {
-    /// It answers the request.
+pub enum ResponseKind {
+    /// A response to the request.
     Answer,
-    /// The upstream is full and did not run the request.
+    /// The upstream is at capacity and did not run the request.
     Full,
-    /// The upstream lacks the model and did not run the request.
+    /// The upstream has not loaded the model and did not run the request.
     Lacking,
-    /// Another upstream answers at the address, which did not run the request.
+    /// Another upstream answered at the address and did not run the request.
     Elsewhere,
-    /// It answers another request, or is not by an upstream.
+    /// A response to another request, or not from an upstream.
     Foreign,
 }
 
-/// The head of an upstream's answer, decoded.
+/// The parsed head of an upstream's response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Heard {
-    /// What it means.
-    pub judged: Judged,
-    /// The load that it reports.
+pub struct ResponseHead {
+    /// The meaning of the response.
+    pub kind: ResponseKind,
+    /// The load that the upstream reported.
     pub load: Option<ReportedLoad>,
 }
 
-/// Translates between headers and the project's own types.
+/// Converts between HTTP headers and this crate's types.
 ///
-/// It decides nothing: what a request may cost, where it goes and what becomes
-/// of it is the gateway's.
+/// A dialect makes no decisions: rates, routing and retries are the gateway's.
 pub trait Dialect: Send + Sync {
-    /// Reads the headers of a request.
+    /// Parses the headers of a request.
     ///
     /// # Errors
     ///
-    /// Returns a refusal when they are malformed.
-    fn read(&self, headers: &HeaderMap) -> Result<Call, Refused>;
+    /// Returns a refusal when the headers are malformed.
+    fn parse_request(&self, headers: &HeaderMap) -> Result<RequestMeta, Refused>;
 
-    /// Turns a caller's headers into those that are sent to every upstream:
-    /// without the key and what only the system may set.
-    fn forwarded(&self, headers: &mut HeaderMap);
+    /// Removes the headers that upstreams must not receive from a caller: the
+    /// key and those that only the gateway may set.
+    fn strip_headers(&self, headers: &mut HeaderMap);
 
-    /// Adds the headers of one attempt.
-    fn address(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
+    /// Adds the headers that are specific to one attempt.
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
-    /// Decodes the head of the answer of the upstream that was meant.
-    fn judge(&self, call: &Call, upstream: &Name, status: StatusCode, headers: &HeaderMap)
-    -> Heard;
+    /// Parses the head of a response from the address of `upstream`.
+    fn classify(
+        &self,
+        request: &RequestMeta,
+        upstream: &Name,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> ResponseHead;
 
-    /// Builds the answer to a request that is refused or failed.
-    fn refuse(&self, refused: &Refused, request: Option<&Name>) -> Response<Body>;
+    /// Builds the response to a request that was refused or failed.
+    fn refusal_response(&self, refused: &Refused, request: Option<&Name>) -> Response<Body>;
 
     /// Returns the path of the readiness check.
     fn ready_path(&self) -> &'static str;
--- a/crates/sequoiawing_gateway/src/exchange.rs
+++ b/crates/sequoiawing_gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-use crate::Call;
+use crate::RequestMeta;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, Uri, body::Incoming, header::HOST};
 use sequoiawing_catalog::{CatalogIndex, CatalogRoute, Client};
@@ -6,36 +6,36 @@
 use sequoiawing_types::{Name, Time};
 use std::{sync::Arc, time::Duration};
 
-/// One request on its way through a gateway's filters.
+/// The state of one request as it passes through a gateway's filters.
 ///
-/// Each filter fills in what it decides and reads what earlier ones did.
+/// Each filter sets the fields that it decides and reads those set before.
 #[derive(Debug, Default)]
 pub struct GatewayExchange {
-    /// What its headers say.
-    pub call: Call,
-    /// The method.
+    /// The metadata parsed from the headers.
+    pub meta: RequestMeta,
+    /// The HTTP method.
     pub method: Method,
-    /// The path with its query.
+    /// The path and query.
     pub uri: Uri,
-    /// The headers; behind the dialect, those that upstreams get.
+    /// The headers; once authenticated, those that are sent to upstreams.
     pub headers: HeaderMap,
-    /// The body that has not been read yet.
+    /// The body, until it is read.
     pub incoming: Option<Incoming>,
-    /// The whole body, once it has been read.
+    /// The complete body, once it has been read.
     pub body: Bytes,
     /// When the request arrived.
     pub arrival: Time,
-    /// When the caller or the operator gives it up.
+    /// When the request times out, by the caller's or the route's limit.
     pub deadline: Time,
-    /// The configuration by which it is treated.
+    /// The configuration that applies to the request.
     pub index: Arc<CatalogIndex>,
-    /// The route.
+    /// The matching route.
     pub route: Arc<CatalogRoute>,
-    /// The pool that was drawn of the route's.
+    /// The pool selected at random from the route's targets.
     pub pool: Name,
-    /// The customer for whom it runs; none on open routes.
+    /// The authenticated customer; `None` on open routes.
     pub customer: Option<Arc<Client>>,
-    /// The units that the customer was charged.
+    /// The units charged to the customer.
     pub units: u64,
 }
 
@@ -54,27 +54,27 @@
         }
     }
 
-    /// Returns the host that the request names.
+    /// Returns the host of the `Host` header or of the URI.
     pub(crate) fn host(&self) -> &str {
-        let named = self.headers.get(HOST).and_then(|v| v.to_str().ok());
-        named.or_else(|| self.uri.host()).unwrap_or_default()
+        let value = self.headers.get(HOST).and_then(|v| v.to_str().ok());
+        value.or_else(|| self.uri.host()).unwrap_or_default()
     }
 
-    /// Returns the time until it is given up.
-    pub(crate) fn left(&self, now: Time) -> Duration {
+    /// Returns the time until the deadline.
+    pub(crate) fn remaining(&self, now: Time) -> Duration {
         self.deadline.since(now)
     }
 
-    /// Returns the rank by which it is served.
+    /// Returns the request's rank: the customer's, or else the route's.
     pub fn rank(&self) -> u32 {
-        let own = self.customer.as_ref().and_then(|c| c.rank);
-        own.unwrap_or(self.route.rank)
+        let customer_rank = self.customer.as_ref().and_then(|c| c.rank);
+        customer_rank.unwrap_or(self.route.rank)
     }
 
-    /// Returns the model's name for logs; empty without one.
+    /// Returns the adapter's or model's name for logs; empty without one.
     pub(crate) fn model(&self) -> &str {
-        let wanted = self.call.adapter.as_ref().or(self.call.model.as_ref());
-        wanted.map_or("", Name::as_str)
+        let name = self.meta.adapter.as_ref().or(self.meta.model.as_ref());
+        name.map_or("", Name::as_str)
     }
 
     /// Returns the customer's name for logs; empty on open routes.
@@ -86,24 +86,25 @@
         u64::try_from(now.since(self.arrival).as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Returns the exchange for an answer that outlives the filters, and leaves
-    /// here what names the request.
+    /// Moves the exchange out for a response that outlives the filters. What
+    /// identifies the request in logs and metrics remains.
     pub(crate) fn detach(&mut self) -> Self {
-        let named = Self {
-            call: self.call.clone(),
+        let identity = Self {
+            meta: self.meta.clone(),
             route: self.route.clone(),
             customer: self.customer.clone(),
             ..Self::default()
         };
-        std::mem::replace(self, named)
+        std::mem::replace(self, identity)
     }
 
+    /// Returns what the balancer needs to choose an upstream.
     pub(crate) fn work(&self) -> ServingWork {
         ServingWork {
             pool: self.pool.clone(),
-            model: self.call.model.clone(),
-            adapter: self.call.adapter.clone(),
-            parts: self.call.parts.clone(),
+            model: self.meta.model.clone(),
+            adapter: self.meta.adapter.clone(),
+            parts: self.meta.parts.clone(),
             tried: Vec::new(),
         }
     }
--- a/crates/sequoiawing_gateway/src/filters/authenticate.rs
+++ b/crates/sequoiawing_gateway/src/filters/authenticate.rs
@@ -3,8 +3,8 @@
 use sequoiawing_router::{Code, Refused};
 use std::sync::Arc;
 
-/// Finds the customer for whom the request runs, and takes out of the headers
-/// what upstreams must not see.
+/// Authenticates the customer by its API key, and removes the headers that
+/// upstreams must not receive.
 pub(crate) struct Authenticate {
     state: Arc<GatewayState>,
 }
@@ -15,12 +15,12 @@
     }
 
     fn authenticate(&self, exchange: &mut GatewayExchange) -> Result<(), Refused> {
-        self.state.dialect.forwarded(&mut exchange.headers);
+        self.state.dialect.strip_headers(&mut exchange.headers);
         if exchange.route.open || !exchange.index.asks_keys() {
             return Ok(());
         }
         let index = exchange.index.clone();
-        let key = exchange.call.key.as_deref();
+        let key = exchange.meta.key.as_deref();
         let customer = key.and_then(|key| index.customer(key));
         let Some(customer) = customer else {
             return Err(Refused::new(Code::Unauthorized, "the key is not in force"));
--- a/crates/sequoiawing_gateway/src/filters/forward.rs
+++ b/crates/sequoiawing_gateway/src/filters/forward.rs
@@ -1,9 +1,9 @@
 use crate::{
-    GatewayExchange, GatewayState, Judged,
-    attempt::{Answered, Failed, send, whole_response},
+    GatewayExchange, GatewayState, ResponseKind,
+    attempt::{AttemptError, UpstreamResponse, buffered_response, send},
     relay::relay,
-    state::Noted,
-    waiting::Search,
+    slots::SlotSearch,
+    state::DemandEvent,
 };
 use hyper::Response;
 use sequoiawing_catalog::Repeat;
@@ -13,31 +13,31 @@
 use sequoiawing_types::Ran;
 use std::{sync::Arc, time::Duration};
 
-/// The upstreams that one request may fail to reach before it is given up.
-const MAX_CONNECTS: u32 = 4;
+/// The number of failed connects after which a request is refused.
+const MAX_CONNECT_FAILURES: u32 = 4;
 
-/// When a caller may come back whose request no upstream took.
-const FULL_RETRY: Duration = Duration::from_millis(200);
+/// The retry delay for callers whose request no upstream accepted.
+const OVERLOADED_RETRY: Duration = Duration::from_millis(200);
 
-/// The aims of a route for which an upstream may be silent before another is
-/// tried.
-const SILENT_AIMS: u32 = 2;
+/// The silence timeout of an attempt, in multiples of the route's latency
+/// target.
+const SILENCE_TIMEOUT_AIMS: u32 = 2;
 
-/// The shortest time for which an upstream may be silent.
-const LEAST_PATIENCE: Duration = Duration::from_millis(300);
+/// The minimum silence timeout of an attempt.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Sends requests to upstreams.
+/// Forwards requests to upstreams and retries failed attempts.
 pub(crate) struct Forward {
     state: Arc<GatewayState>,
 }
 
-/// What became of a request so far.
+/// The progress of a request through its attempts.
 struct Progress {
     work: ServingWork,
-    /// The upstreams that it was sent to.
-    sent: u32,
-    /// The upstreams that could not be reached.
-    unreached: u32,
+    /// The number of times the request was sent.
+    attempts: u32,
+    /// The number of failed connects.
+    connect_failures: u32,
     ran: Ran,
 }
 
@@ -49,129 +49,138 @@
     async fn forward(&self, exchange: &mut GatewayExchange) -> Result<Response<Body>, Refused> {
         let mut progress = Progress {
             work: exchange.work(),
-            sent: 0,
-            unreached: 0,
+            attempts: 0,
+            connect_failures: 0,
             ran: Ran::No,
         };
-        let tokens = exchange.call.total_tokens().unwrap_or_default();
-        let noted = Noted::Asked { tokens };
-        self.state.note_demand(&progress.work, noted);
-        self.state.note_request(&exchange.pool);
+        let tokens = exchange.meta.total_tokens().unwrap_or_default();
+        let event = DemandEvent::Requested { tokens };
+        self.state.record_demand(&progress.work, event);
+        self.state.record_request(&exchange.pool);
         loop {
-            let found = Search::new(&self.state, exchange).run(&progress.work).await;
-            let slot = found.map_err(|refused| give_up(refused, progress.ran))?;
+            let slot = SlotSearch::new(&self.state, exchange)
+                .acquire(&progress.work)
+                .await;
+            let slot = slot.map_err(|refused| final_refusal(refused, progress.ran))?;
             let upstream = slot.upstream().clone();
             log::info!(
-                target: "gateway", request = exchange.call.id.as_str(),
+                target: "gateway", request = exchange.meta.id.as_str(),
                 route = exchange.route.name.as_str(), version = exchange.index.version(),
                 model = exchange.model(), customer = exchange.customer(),
                 upstream = upstream.as_str(), load = slot.assigned.load,
-                missing = slot.assigned.missing, attempt = progress.sent + 1,
+                missing = slot.assigned.missing, attempt = progress.attempts + 1,
                 waited_ms = exchange.millis_since_arrival(self.state.now());
-                "A request is sent."
+                "Sending request to an upstream."
             );
             progress.work.tried.push(upstream.clone());
-            let patience = patience(exchange, &progress);
-            match send(&self.state, exchange, slot, None, patience).await {
-                Ok(Answered::Stream(parts, body, slot)) => {
+            let silence_timeout = silence_timeout(exchange, &progress);
+            match send(&self.state, exchange, slot, None, silence_timeout).await {
+                Ok(UpstreamResponse::Stream(parts, body, slot)) => {
                     let exchange = exchange.detach();
-                    let answer = (parts, body, slot);
-                    let (work, sent) = (progress.work, progress.sent + 1);
-                    return Ok(relay(self.state.clone(), exchange, work, sent, answer));
+                    let response = (parts, body, slot);
+                    let (work, attempts) = (progress.work, progress.attempts + 1);
+                    return Ok(relay(
+                        self.state.clone(),
+                        exchange,
+                        work,
+                        attempts,
+                        response,
+                    ));
                 }
-                Ok(Answered::Whole(parts, bytes)) => {
-                    progress.sent += 1;
-                    let is_failure = parts.status.is_server_error();
-                    let repeats = is_failure && exchange.route.repeat == Repeat::Idempotent;
-                    if repeats && self.may_send_again(exchange, &progress) {
+                Ok(UpstreamResponse::Buffered(parts, bytes)) => {
+                    progress.attempts += 1;
+                    let is_server_error = parts.status.is_server_error();
+                    let is_retryable =
+                        is_server_error && exchange.route.repeat == Repeat::Idempotent;
+                    if is_retryable && self.may_retry(exchange, &progress) {
                         progress.ran = Ran::Yes;
                         continue;
                     }
                     log::info!(
-                        target: "gateway", request = exchange.call.id.as_str(),
+                        target: "gateway", request = exchange.meta.id.as_str(),
                         upstream = upstream.as_str(), status = parts.status.as_u16(),
                         took_ms = exchange.millis_since_arrival(self.state.now());
-                        "A request is answered."
+                        "Request answered."
                     );
-                    return Ok(whole_response(parts, bytes));
+                    return Ok(buffered_response(parts, bytes));
                 }
-                Err(failed) => {
+                Err(error) => {
                     log::info!(
-                        target: "gateway", request = exchange.call.id.as_str(),
-                        upstream = upstream.as_str(), sent = progress.sent + 1,
-                        cause = format!("{failed:?}");
-                        "An attempt failed."
+                        target: "gateway", request = exchange.meta.id.as_str(),
+                        upstream = upstream.as_str(), sent = progress.attempts + 1,
+                        cause = format!("{error:?}");
+                        "Attempt failed."
                     );
-                    self.settle(exchange, &mut progress, failed)?;
+                    self.handle_failure(exchange, &mut progress, error)?;
                 }
             }
         }
     }
 
-    /// Decides whether a request is sent again.
-    fn settle(
+    /// Returns `Ok` if a failed request may be retried, or else its refusal.
+    fn handle_failure(
         &self,
         exchange: &GatewayExchange,
         progress: &mut Progress,
-        failed: Failed,
+        error: AttemptError,
     ) -> Result<(), Refused> {
         let ran = progress.ran;
-        match failed {
-            Failed::NotSent(cause) => {
-                progress.unreached += 1;
-                if progress.unreached < MAX_CONNECTS {
+        match error {
+            AttemptError::NotSent(cause) => {
+                progress.connect_failures += 1;
+                if progress.connect_failures < MAX_CONNECT_FAILURES {
                     return Ok(());
                 }
                 let problem = format!("no upstream could be reached: {cause}");
                 let refused = Refused::new(Code::NoUpstream, problem);
-                Err(give_up(refused.with_retry(FULL_RETRY), ran))
+                Err(final_refusal(refused.with_retry(OVERLOADED_RETRY), ran))
             }
-            Failed::NotRun(judged) => {
-                progress.sent += 1;
-                if self.may_send_again(exchange, progress) {
+            AttemptError::NotRun(kind) => {
+                progress.attempts += 1;
+                if self.may_retry(exchange, progress) {
                     return Ok(());
                 }
-                let problem = match judged {
-                    Judged::Lacking => "the upstream lacks the model",
-                    Judged::Elsewhere => "the upstream is gone",
+                let problem = match kind {
+                    ResponseKind::Lacking => "the upstream lacks the model",
+                    ResponseKind::Elsewhere => "the upstream is gone",
                     _ => "the upstream is full",
                 };
                 let refused = Refused::new(Code::Overloaded, problem);
-                Err(give_up(refused.with_retry(FULL_RETRY), ran))
+                Err(final_refusal(refused.with_retry(OVERLOADED_RETRY), ran))
             }
-            Failed::MayHaveRun(cause) => {
-                progress.sent += 1;
+            AttemptError::MayHaveRun(cause) => {
+                progress.attempts += 1;
                 progress.ran = Ran::Unknown;
-                if exchange.route.repeat.may_repeat() && self.may_send_again(exchange, progress) {
+                if exchange.route.repeat.may_repeat() && self.may_retry(exchange, progress) {
                     return Ok(());
                 }
                 let problem = format!("the upstream failed: {cause}");
                 Err(Refused::new(Code::UpstreamFailed, problem).with_ran(Ran::Unknown))
             }
-            Failed::TimedOut => {
+            AttemptError::TimedOut => {
                 let problem = "the upstream did not answer in time";
                 Err(Refused::new(Code::TimedOut, problem).with_ran(Ran::Unknown))
             }
         }
     }
 
-    fn may_send_again(&self, exchange: &GatewayExchange, progress: &Progress) -> bool {
-        let is_allowed = progress.sent < exchange.route.attempts.max(1);
-        let has_time = !exchange.left(self.state.now()).is_zero();
-        is_allowed && has_time && self.state.take_repeat(&exchange.pool)
+    fn may_retry(&self, exchange: &GatewayExchange, progress: &Progress) -> bool {
+        let is_allowed = progress.attempts < exchange.route.attempts.max(1);
+        let has_time = !exchange.remaining(self.state.now()).is_zero();
+        is_allowed && has_time && self.state.take_retry(&exchange.pool)
     }
 }
 
-/// Returns how long an upstream may be silent before another is tried; where
-/// none may be, it is waited for as long as for the request.
-fn patience(exchange: &GatewayExchange, progress: &Progress) -> Option<Duration> {
+/// Returns how long an upstream may be silent before another is tried; `None`
+/// if the request can't be retried, so that only its deadline applies.
+fn silence_timeout(exchange: &GatewayExchange, progress: &Progress) -> Option<Duration> {
     let route = &exchange.route;
-    let may_repeat = route.repeat.may_repeat() && progress.sent + 1 < route.attempts;
-    may_repeat.then(|| (route.aim() * SILENT_AIMS).max(LEAST_PATIENCE))
+    let may_repeat = route.repeat.may_repeat() && progress.attempts + 1 < route.attempts;
+    may_repeat.then(|| (route.aim() * SILENCE_TIMEOUT_AIMS).max(MIN_SILENCE_TIMEOUT))
 }
 
-/// Says what is true of a request that may have run.
-fn give_up(refused: Refused, ran: Ran) -> Refused {
+/// Returns the refusal of a request whose earlier attempts may have run.
+fn final_refusal(refused: Refused, ran: Ran) -> Refused {
     if ran == Ran::No {
         return refused;
     }
--- a/crates/sequoiawing_gateway/src/filters/mod.rs
+++ b/crates/sequoiawing_gateway/src/filters/mod.rs
@@ -1,30 +1,34 @@
-//! The filters of a gateway, one job each.
+//! The filters that each request passes through.
 
 mod authenticate;
 mod forward;
-mod limit;
+mod parse_headers;
+mod rate_limit;
 mod read_body;
-mod read_call;
 mod route;
 
 use crate::{GatewayExchange, GatewayState};
 use sequoiawing_router::{Answer, Chain, Filter, Next, Refused};
 use std::sync::Arc;
 
-/// A filter that fills in a part of the exchange or refuses the request, and
-/// has no part in the answer.
+/// A filter that sets fields of the exchange or refuses the request, and does
+/// not see the response.
 trait Check: Send + Sync {
-    /// Returns the name under which the filter stands in the state dump.
+    /// Returns the filter's name in the state dump.
     fn name(&self) -> &'static str;
 
-    /// Fills in what it decides.
+    /// Checks the request and sets the fields that the check decides.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal of the request.
     fn check(&self, exchange: &mut GatewayExchange) -> Result<(), Refused>;
 }
 
-/// Runs the rest of the chain behind a check that passed.
-struct Checked<C>(C);
+/// Adapts a [`Check`] to a filter that runs the rest of the chain if it passes.
+struct CheckFilter<C>(C);
 
-impl<C> Filter<GatewayExchange> for Checked<C>
+impl<C> Filter<GatewayExchange> for CheckFilter<C>
 where
     C: Check,
 {
@@ -44,14 +48,14 @@
     }
 }
 
-/// Returns the filters in their order.
+/// Returns the chain of filters, in order.
 pub(crate) fn chain(state: &Arc<GatewayState>) -> Chain<GatewayExchange> {
     let mut chain = Chain::default();
-    chain.push(Checked(read_call::ReadCall::new(state.clone())));
-    chain.push(Checked(route::SelectRoute::new(state.clone())));
-    chain.push(Checked(authenticate::Authenticate::new(state.clone())));
+    chain.push(CheckFilter(parse_headers::ParseHeaders::new(state.clone())));
+    chain.push(CheckFilter(route::SelectRoute::new(state.clone())));
+    chain.push(CheckFilter(authenticate::Authenticate::new(state.clone())));
     chain.push(read_body::ReadBody);
-    chain.push(limit::Limit::new(state.clone()));
+    chain.push(rate_limit::RateLimit::new(state.clone()));
     chain.push(forward::Forward::new(state.clone()));
     chain
 }
--- a/crates/sequoiawing_gateway/src/filters/read_call.rs
+++ b/crates/sequoiawing_gateway/src/filters/parse_headers.rs
@@ -3,27 +3,28 @@
 use sequoiawing_router::{Code, Refused};
 use std::{sync::Arc, time::Duration};
 
-/// When a caller may come back to a host that has no configuration yet.
+/// The retry delay for callers while this host has no configuration.
 const NO_CATALOG_RETRY: Duration = Duration::from_millis(500);
 
-/// Decodes the headers.
-pub(crate) struct ReadCall {
+/// Parses the request's headers, and refuses requests before the first
+/// configuration has arrived.
+pub(crate) struct ParseHeaders {
     state: Arc<GatewayState>,
 }
 
-impl ReadCall {
+impl ParseHeaders {
     pub(crate) fn new(state: Arc<GatewayState>) -> Self {
         Self { state }
     }
 }
 
-impl Check for ReadCall {
+impl Check for ParseHeaders {
     fn name(&self) -> &'static str {
         "read-call"
     }
 
     fn check(&self, exchange: &mut GatewayExchange) -> Result<(), Refused> {
-        exchange.call = self.state.dialect.read(&exchange.headers)?;
+        exchange.meta = self.state.dialect.parse_request(&exchange.headers)?;
         if exchange.index.version() == 0 {
             let problem = "this host has no configuration yet";
             let refused = Refused::new(Code::Unavailable, problem);
--- a/crates/sequoiawing_gateway/src/filters/limit.rs
+++ b/crates/sequoiawing_gateway/src/filters/rate_limit.rs
@@ -3,15 +3,15 @@
 use sequoiawing_types::Ran;
 use std::{sync::Arc, time::Duration};
 
-/// The shortest time after which a caller beyond its rate may come back.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
+/// The minimum retry delay for callers that exceed their rate.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Holds customers to their rates over all hosts.
-pub(crate) struct Limit {
+/// Enforces the customers' rate limits, which apply across all hosts.
+pub(crate) struct RateLimit {
     state: Arc<GatewayState>,
 }
 
-impl Limit {
+impl RateLimit {
     pub(crate) fn new(state: Arc<GatewayState>) -> Self {
         Self { state }
     }
@@ -20,26 +20,26 @@
         let Some(customer) = exchange.customer.clone() else {
             return Ok(());
         };
-        let units = customer.cost(exchange.call.total_tokens());
+        let units = customer.cost(exchange.meta.total_tokens());
         self.state
             .charge(&customer, units)
             .map_err(|(retry, view)| {
                 log::info!(
-                    target: "gateway", request = exchange.call.id.as_str(),
+                    target: "gateway", request = exchange.meta.id.as_str(),
                     customer = customer.name.as_str(), units = units, rate = customer.rate,
-                    burst = customer.burst, used_here = self.state.used_by(&customer.name),
+                    burst = customer.burst, used_here = self.state.usage_of(&customer.name),
                     hosts = view.hosts, missing = view.missing, cut_off = view.is_cut_off;
-                    "A request is beyond its customer's rate."
+                    "Request exceeds the customer's rate limit."
                 );
                 let problem = "the customer's rate and burst are used up";
-                Refused::new(Code::RateLimited, problem).with_retry(retry.max(LEAST_RETRY))
+                Refused::new(Code::RateLimited, problem).with_retry(retry.max(MIN_RETRY_DELAY))
             })?;
         exchange.units = units;
         Ok(())
     }
 }
 
-impl Filter<GatewayExchange> for Limit {
+impl Filter<GatewayExchange> for RateLimit {
     fn name(&self) -> &'static str {
         "limit"
     }
@@ -56,7 +56,7 @@
             if let (Err(refused), Some(customer)) = (&answer, customer)
                 && refused.ran == Ran::No
             {
-                self.state.give_back(&customer, units);
+                self.state.refund(&customer, units);
             }
             answer
         })
--- a/crates/sequoiawing_gateway/src/filters/read_body.rs
+++ b/crates/sequoiawing_gateway/src/filters/read_body.rs
@@ -4,7 +4,7 @@
 use sequoiawing_runtime::timeout;
 use std::time::Duration;
 
-/// Reads the whole body, so that the request can be sent again.
+/// Buffers the request body so that the request can be retried.
 pub(crate) struct ReadBody;
 
 async fn read(exchange: &mut GatewayExchange) -> Result<(), Refused> {
@@ -13,8 +13,8 @@
     };
     let bounds = &exchange.index.catalog().bounds;
     let limited = Limited::new(incoming, bounds.body_bytes);
-    let limit = Duration::from_millis(bounds.header_wait);
-    match timeout(limit, limited.collect()).await {
+    let time_limit = Duration::from_millis(bounds.header_wait);
+    match timeout(time_limit, limited.collect()).await {
         Some(Ok(body)) => {
             exchange.body = body.to_bytes();
             Ok(())
--- a/crates/sequoiawing_gateway/src/filters/route.rs
+++ b/crates/sequoiawing_gateway/src/filters/route.rs
@@ -4,7 +4,7 @@
 use sequoiawing_types::Name;
 use std::sync::Arc;
 
-/// Finds the route and when the request is given up.
+/// Selects the route and a pool of it, and sets the request's deadline.
 pub(crate) struct SelectRoute {
     state: Arc<GatewayState>,
 }
@@ -19,12 +19,12 @@
         let Some(route) = index.route(exchange.host(), exchange.uri.path()) else {
             return Err(Refused::new(Code::NotFound, "no route matches"));
         };
-        let limit = exchange.call.deadline.unwrap_or(route.limit());
+        let limit = exchange.meta.deadline.unwrap_or(route.limit());
         exchange.deadline = exchange.arrival + limit.min(route.limit());
         let pool: Option<&Name> = route.pool_for(rand::random());
         exchange.pool = pool.cloned().unwrap_or_default();
         exchange.route = route.clone();
-        if exchange.left(self.state.now()).is_zero() {
+        if exchange.remaining(self.state.now()).is_zero() {
             return Err(Refused::new(Code::TooLate, "the request's time is up"));
         }
         Ok(())
--- /dev/null
+++ b/crates/sequoiawing_gateway/src/hub_sync.rs
@@ -0,0 +1,205 @@
+//! Reports to the hubs and receives their updates.
+
+use crate::GatewayState;
+use futures_lite::FutureExt;
+use parking_lot::Mutex;
+use sequoiawing_fleet::Cursor;
+use sequoiawing_link::{GatewayReport, HubClient, HubFacts, HubNews, Secret, Stub};
+use sequoiawing_policy::serving::{HubFact, HubRole};
+use sequoiawing_runtime::{Shutdown, Task, sleep, spawn};
+use std::{
+    collections::HashMap,
+    net::SocketAddr,
+    sync::{Arc, atomic::Ordering},
+    time::Duration,
+};
+
+/// How long a hub may hold a report until it has an update. Departed upstreams
+/// and new configurations must be known within two seconds, and the usage of
+/// customers within the slack of their limits.
+const UPDATE_WAIT: Duration = Duration::from_millis(250);
+
+/// Timeout of a call to a hub.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// How often newly discovered hubs get a session.
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(500);
+
+/// How long shutdown waits for a hub to accept the final report.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Keeps a session with each known hub until shutdown starts.
+pub(crate) async fn sync_with_hubs(state: Arc<GatewayState>, shutdown: Shutdown) {
+    let mut tasks: HashMap<SocketAddr, (Arc<HubSession>, Task<()>)> = HashMap::new();
+    loop {
+        let known: Vec<SocketAddr> = state.hubs.lock().hubs().collect();
+        for hub in known {
+            tasks.entry(hub).or_insert_with(|| {
+                let session = Arc::new(HubSession::new(state.clone(), hub));
+                let task = spawn(run_session(session.clone()));
+                (session, task)
+            });
+        }
+        tasks.retain(|_, (_, task)| !task.is_finished());
+        if shutdown.or(sleep(DISCOVERY_INTERVAL)).await.is_none() {
+            break;
+        }
+    }
+    // Hubs that receive this gateway's reports are told that it leaves if they
+    // answer in time.
+    for (hub, (session, task)) in tasks {
+        drop(task);
+        if state.hub_role(hub) != HubRole::Probed {
+            let reported = async { Some(session.report(Duration::ZERO, false).await) };
+            let timed_out = async {
+                sleep(LEAVE_TIMEOUT).await;
+                None
+            };
+            if reported.or(timed_out).await != Some(true) {
+                log::info!(target: "gateway", hub = hub.to_string(); "Hub did not acknowledge that the gateway is leaving.");
+            }
+        }
+    }
+}
+
+async fn run_session(session: Arc<HubSession>) {
+    let state = &session.state;
+    let hub = session.hub;
+    let mut in_touch = false;
+    let mut last_role = None;
+    loop {
+        let role = state.hub_role(hub);
+        if last_role != Some(role) {
+            log::info!(target: "gateway", hub = hub.to_string(), role = format!("{role:?}"); "Hub role changed.");
+            last_role = Some(role);
+        }
+        let answered = match role {
+            HubRole::Probed => session.probe().await,
+            HubRole::Followed => session.report(UPDATE_WAIT, false).await,
+            HubRole::Primary => {
+                let periodic = session.report(UPDATE_WAIT, true);
+                periodic.or(session.report_urgent()).await
+            }
+        };
+        if answered != in_touch {
+            log::info!(target: "gateway", hub = hub.to_string(), in_touch = answered; "Hub connectivity changed.");
+            in_touch = answered;
+        }
+        if !answered && state.record_hub_failure(hub) {
+            return;
+        }
+        let hubs_changed = state.hubs_changed.listen();
+        let delay = state.poll_delay(hub);
+        if state.hub_role(hub) == HubRole::Probed {
+            sleep(delay).or(hubs_changed).await;
+        } else {
+            sleep(delay).await;
+        }
+    }
+}
+
+/// The session with one hub.
+struct HubSession {
+    state: Arc<GatewayState>,
+    hub: SocketAddr,
+    stub: Stub<HubClient>,
+    position: Mutex<SyncPosition>,
+}
+
+/// The position up to which the hub's updates have been received.
+#[derive(Clone, Copy, Debug, Default)]
+struct SyncPosition {
+    cursor: Cursor,
+    /// The change counter of the hub's last response.
+    seen: u64,
+}
+
+impl HubSession {
+    fn new(state: Arc<GatewayState>, hub: SocketAddr) -> Self {
+        let secret = Secret::from(state.settings.secret.as_str());
+        Self {
+            state,
+            hub,
+            stub: Stub::new(hub, secret),
+            position: Mutex::default(),
+        }
+    }
+
+    /// Requests the hub's facts; returns whether it answered.
+    async fn probe(&self) -> bool {
+        let call = async |client: HubClient, context| client.facts(context).await;
+        match self.stub.call(CALL_TIMEOUT, call).await {
+            Ok(facts) => {
+                self.update_hub(facts);
+                true
+            }
+            Err(error) => {
+                log::debug!(target: "gateway", "Call to a hub failed: {error}.");
+                false
+            }
+        }
+    }
+
+    /// Reports whenever an urgent report is requested; never returns.
+    async fn report_urgent(&self) -> bool {
+        loop {
+            self.state.urgent_report.listen().await;
+            let delay = self.state.hubs.lock().pause();
+            sleep(delay).await;
+            self.report(Duration::ZERO, true).await;
+        }
+    }
+
+    /// Sends one report and waits at most `wait` for an update; returns whether
+    /// the hub answered. Demand is reported to the primary hub only.
+    async fn report(&self, wait: Duration, is_primary: bool) -> bool {
+        let state = &self.state;
+        let demand = if is_primary {
+            state.demand_batches()
+        } else {
+            Vec::new()
+        };
+        let last_batch = demand.last().map_or(0, |batch| batch.number);
+        let usage = state.usage();
+        let position = *self.position.lock();
+        let report = GatewayReport {
+            host: state.settings.host.clone(),
+            incarnation: state.incarnation,
+            leaving: state.is_stopping.load(Ordering::Relaxed),
+            version: state.index().version(),
+            cursor: position.cursor,
+            used: usage.clone(),
+            demand,
+            unreachable: state.unreachable(),
+            reached: state.reached(),
+            seen: position.seen,
+            wait: u64::try_from(wait.as_millis()).unwrap_or_default(),
+        };
+        let call = async |client: HubClient, context| client.sync(context, report).await;
+        let update: HubNews = match self.stub.call(CALL_TIMEOUT, call).await {
+            Ok(update) => update,
+            Err(error) => {
+                log::debug!(target: "gateway", "Call to a hub failed: {error}.");
+                return false;
+            }
+        };
+        state.acknowledge_demand(last_batch);
+        *self.position.lock() = SyncPosition {
+            cursor: update.roster.cursor,
+            seen: update.seen,
+        };
+        self.update_hub(update.facts.clone());
+        state.apply_hub_update(self.hub, update, &usage);
+        true
+    }
+
+    /// Records the hub's facts and the other hubs that it lists.
+    fn update_hub(&self, facts: HubFacts) {
+        let fact = HubFact {
+            centre: facts.centre,
+            leads: facts.leads,
+            age: Duration::from_millis(facts.age),
+        };
+        self.state.update_hub(self.hub, fact, &facts.hubs);
+    }
+}
--- a/crates/sequoiawing_gateway/src/lib.rs
+++ b/crates/sequoiawing_gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! Serves callers by whole configurations that hubs hand out.
+//! HTTP gateway that forwards callers' requests to upstreams.
 //!
-//! A gateway keeps no list of machines and no state on disk: it learns the
-//! configuration, the upstreams and what the others admitted from the hubs. A
-//! request passes a chain of filters; a [`Dialect`] translates between the
-//! headers of callers and upstreams and the project's own types. See
+//! A gateway has no static list of machines and no state on disk. Hubs supply
+//! the configuration, the upstreams and the usage that other gateways admitted.
+//! Each request passes through a chain of filters; a [`Dialect`] converts
+//! between HTTP headers and this crate's types. See
 //! [docs/design/platform.md](../../../docs/design/platform.md).
 
 mod attempt;
@@ -11,14 +11,14 @@
 mod dialect;
 mod exchange;
 mod filters;
-mod follow;
+mod hub_sync;
 mod relay;
 mod settings;
+mod slots;
 mod state;
-mod waiting;
 
 pub use daemon::Gateway;
-pub use dialect::{Attempt, Call, Dialect, Heard, Judged};
+pub use dialect::{Attempt, Dialect, RequestMeta, ResponseHead, ResponseKind};
 pub use exchange::GatewayExchange;
 pub use settings::GatewaySettings;
 pub use state::GatewayState;
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -1,9 +1,9 @@
-//! A stream of events on its way from upstreams to a caller.
+//! Relays event streams from upstreams to callers.
 
 use crate::{
     GatewayExchange, GatewayState,
-    attempt::{Answered, Failed, send},
-    waiting::{Search, Slot},
+    attempt::{AttemptError, UpstreamResponse, send},
+    slots::{Slot, SlotSearch},
 };
 use bytes::Bytes;
 use futures::stream::unfold;
@@ -15,55 +15,55 @@
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
 
-/// The longest pauses on time for which an upstream may send nothing before
-/// another is asked to go on.
-const QUIET_GAPS: u32 = 2;
+/// The silence timeout of a stream, in multiples of the route's longest event
+/// gap.
+const SILENCE_GAPS: u32 = 2;
 
-/// The shortest such time.
-const LEAST_QUIET: Duration = Duration::from_secs(1);
+/// The minimum silence timeout of a stream.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A stream that is being passed on.
-struct Relay {
+/// A stream that is being relayed.
+struct StreamRelay {
     state: Arc<GatewayState>,
     exchange: Arc<GatewayExchange>,
     work: ServingWork,
-    /// The upstreams that the request was sent to.
-    sent: u32,
+    /// The number of times the request was sent.
+    attempts: u32,
     source: Option<(ClientBody, Slot)>,
     events: Events,
-    /// Whether no other upstream was free when this one paused.
-    is_stuck: bool,
-    is_over: bool,
+    /// Whether no other upstream was available when this one fell silent.
+    has_no_alternative: bool,
+    is_finished: bool,
 }
 
-/// What came next of a stream.
-enum Next {
+/// The result of reading from the upstream.
+enum ReadResult {
     Events(Bytes),
     End,
     Broken(String),
 }
 
-/// Passes a stream on, event by event, and has another upstream go on with it
-/// where the route allows.
+/// Relays a stream in whole events, and resumes it at another upstream after a
+/// failure if the route allows.
 pub(crate) fn relay(
     state: Arc<GatewayState>,
     exchange: GatewayExchange,
     work: ServingWork,
-    sent: u32,
-    answer: (Parts, ClientBody, Slot),
+    attempts: u32,
+    response: (Parts, ClientBody, Slot),
 ) -> Response<Body> {
-    let (mut parts, body, slot) = answer;
+    let (mut parts, body, slot) = response;
     remove_hop_headers(&mut parts.headers);
     parts.headers.remove(hyper::header::CONTENT_LENGTH);
-    let relay = Relay {
+    let relay = StreamRelay {
         state,
         exchange: Arc::new(exchange),
         work,
-        sent,
+        attempts,
         source: Some((body, slot)),
         events: Events::default(),
-        is_stuck: false,
-        is_over: false,
+        has_no_alternative: false,
+        is_finished: false,
     };
     let stream = unfold(relay, async |mut relay| {
         let item = relay.next().await?;
@@ -72,186 +72,193 @@
     Response::from_parts(parts, from_stream(Box::pin(stream)))
 }
 
-impl Relay {
+impl StreamRelay {
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
-        if self.is_over {
+        if self.is_finished {
             return None;
         }
         loop {
-            let left = self.exchange.left(self.state.now());
-            let quiet = self.quiet_limit().filter(|quiet| *quiet < left);
-            let read = timeout(quiet.unwrap_or(left), self.read()).await;
+            let remaining = self.exchange.remaining(self.state.now());
+            let silence = self
+                .silence_timeout()
+                .filter(|silence| *silence < remaining);
+            let read = timeout(silence.unwrap_or(remaining), self.read()).await;
             let next = match read {
                 Some(next) => next,
-                None if quiet.is_some() => {
-                    self.leave_silent().await;
+                None if silence.is_some() => {
+                    self.replace_silent_upstream().await;
                     continue;
                 }
-                None => return Some(Err(self.stop(Ended::Failed, "the time is up"))),
+                None => {
+                    return Some(Err(
+                        self.abort(Ended::Failed, "the request's deadline has passed")
+                    ));
+                }
             };
             match next {
-                Next::Events(bytes) => return Some(Ok(bytes)),
-                Next::End => {
+                ReadResult::Events(bytes) => return Some(Ok(bytes)),
+                ReadResult::End => {
                     self.finish("whole");
                     return None;
                 }
-                Next::Broken(cause) => {
-                    if !self.resume(&cause).await {
-                        return Some(Err(self.stop(Ended::Broken, &cause)));
+                ReadResult::Broken(cause) => {
+                    if !self.fail_over(&cause).await {
+                        return Some(Err(self.abort(Ended::Broken, &cause)));
                     }
                 }
             }
         }
     }
 
-    /// Returns how long a stream that another upstream could go on with may
-    /// pause.
-    fn quiet_limit(&self) -> Option<Duration> {
+    /// Returns how long the upstream may send nothing; `None` if the stream can't
+    /// be resumed elsewhere.
+    fn silence_timeout(&self) -> Option<Duration> {
         let route = &self.exchange.route;
-        let may_leave = route.repeat == Repeat::Resumable && self.sent < route.attempts;
-        let gap = Duration::from_millis(route.gap) * QUIET_GAPS;
-        let begins = self.events.count() == 0;
-        let limit = if begins { gap.max(route.aim()) } else { gap };
-        (may_leave && !self.is_stuck).then(|| limit.max(LEAST_QUIET))
+        let can_switch = route.repeat == Repeat::Resumable && self.attempts < route.attempts;
+        let gap = Duration::from_millis(route.gap) * SILENCE_GAPS;
+        let is_first = self.events.count() == 0;
+        let limit = if is_first { gap.max(route.aim()) } else { gap };
+        (can_switch && !self.has_no_alternative).then(|| limit.max(MIN_SILENCE_TIMEOUT))
     }
 
-    /// Goes on at another upstream if one is free at once, since this one sends
-    /// nothing.
-    async fn leave_silent(&mut self) {
+    /// Resumes the stream at another upstream if one has a free slot, since the
+    /// current one is silent.
+    async fn replace_silent_upstream(&mut self) {
         let mut work = self.work.clone();
         work.tried.extend(
             self.source
                 .as_ref()
                 .map(|(_, slot)| slot.upstream().clone()),
         );
-        let found = Search::new(&self.state, &self.exchange).try_once(&work);
-        let Some(slot) = found.filter(|_| self.state.take_repeat(&self.exchange.pool)) else {
-            self.is_stuck = true;
+        let slot = SlotSearch::new(&self.state, &self.exchange).try_acquire(&work);
+        let Some(slot) = slot.filter(|_| self.state.take_retry(&self.exchange.pool)) else {
+            self.has_no_alternative = true;
             return;
         };
-        // The former run ends with its connection, before the other begins.
-        self.lose_source(Ended::Missed, "the upstream is silent");
-        self.go_on(slot).await;
+        // Closing the connection ends the former run before the next begins.
+        self.drop_source(Ended::Missed, "the upstream is silent");
+        self.resume_at(slot).await;
     }
 
-    /// Reads until a whole event has come.
-    async fn read(&mut self) -> Next {
+    /// Reads until at least one complete event has arrived.
+    async fn read(&mut self) -> ReadResult {
         let Some((body, _)) = &mut self.source else {
-            return Next::Broken("no upstream is left".to_owned());
+            return ReadResult::Broken("the stream has no upstream".to_owned());
         };
         loop {
             match body.frame().await {
                 None if self.events.has_partial() => {
-                    return Next::Broken("the stream ended within an event".to_owned());
+                    return ReadResult::Broken("the stream ended within an event".to_owned());
                 }
-                None => return Next::End,
-                Some(Err(error)) => return Next::Broken(error.to_string()),
+                None => return ReadResult::End,
+                Some(Err(error)) => return ReadResult::Broken(error.to_string()),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    let whole = self.events.push(data);
-                    if !whole.is_empty() {
-                        return Next::Events(whole);
+                    let events = self.events.push(data);
+                    if !events.is_empty() {
+                        return ReadResult::Events(events);
                     }
                 }
             }
         }
     }
 
-    /// Gives up on the present upstream.
-    fn lose_source(&mut self, ended: Ended, cause: &str) {
+    /// Closes the stream of the current upstream and excludes it from retries.
+    fn drop_source(&mut self, ended: Ended, cause: &str) {
         let Some((_, mut slot)) = self.source.take() else {
             return;
         };
-        slot.note(ended);
+        slot.set_ended(ended);
         self.work.tried.push(slot.upstream().clone());
         log::info!(
-            target: "gateway", request = self.exchange.call.id.as_str(),
+            target: "gateway", request = self.exchange.meta.id.as_str(),
             upstream = slot.upstream().as_str(), events = self.events.count(), cause = cause;
-            "A stream broke off."
+            "Stream from the upstream was interrupted."
         );
         self.events.cut();
     }
 
-    /// Finds another upstream that goes on behind the last whole event.
-    async fn resume(&mut self, cause: &str) -> bool {
-        self.lose_source(Ended::Broken, cause);
+    /// Resumes the stream after its last complete event at another upstream;
+    /// returns whether one was found.
+    async fn fail_over(&mut self, cause: &str) -> bool {
+        self.drop_source(Ended::Broken, cause);
         let route = &self.exchange.route;
         if route.repeat != Repeat::Resumable {
             return false;
         }
-        while self.sent < self.exchange.route.attempts
-            && self.state.take_repeat(&self.exchange.pool)
+        while self.attempts < self.exchange.route.attempts
+            && self.state.take_retry(&self.exchange.pool)
         {
-            let found = Search::new(&self.state, &self.exchange)
-                .run(&self.work)
+            let slot = SlotSearch::new(&self.state, &self.exchange)
+                .acquire(&self.work)
                 .await;
-            let Ok(slot) = found else {
+            let Ok(slot) = slot else {
                 return false;
             };
-            if self.go_on(slot).await {
+            if self.resume_at(slot).await {
                 return true;
             }
         }
         false
     }
 
-    /// Has an upstream go on with the stream; reports whether it does.
-    async fn go_on(&mut self, slot: Slot) -> bool {
-        let id = self.exchange.call.id.clone();
+    /// Resumes the stream at an upstream; returns whether it succeeded.
+    async fn resume_at(&mut self, slot: Slot) -> bool {
+        let id = self.exchange.meta.id.clone();
         let upstream = slot.upstream().clone();
         self.work.tried.push(upstream.clone());
-        let resume = self.events.last_id().or(self.exchange.call.resume);
-        let failed = match send(&self.state, &self.exchange, slot, resume, None).await {
-            Ok(Answered::Stream(_, body, slot)) => {
-                self.sent += 1;
+        let last_event_id = self.events.last_id().or(self.exchange.meta.last_event_id);
+        let cause = match send(&self.state, &self.exchange, slot, last_event_id, None).await {
+            Ok(UpstreamResponse::Stream(_, body, slot)) => {
+                self.attempts += 1;
                 log::info!(
                     target: "gateway", request = id.as_str(), upstream = upstream.as_str(),
-                    behind = resume;
-                    "Another upstream goes on with a stream."
+                    behind = last_event_id;
+                    "Stream resumed at another upstream."
                 );
                 self.source = Some((body, slot));
                 return true;
             }
-            Ok(Answered::Whole(parts, _)) => format!("status {}", parts.status),
-            Err(failed) => {
-                self.sent += u32::from(!matches!(failed, Failed::NotSent(_)));
-                format!("{failed:?}")
+            Ok(UpstreamResponse::Buffered(parts, _)) => format!("status {}", parts.status),
+            Err(error) => {
+                self.attempts += u32::from(!matches!(error, AttemptError::NotSent(_)));
+                format!("{error:?}")
             }
         };
         log::info!(
             target: "gateway", request = id.as_str(), upstream = upstream.as_str(),
-            cause = failed;
-            "A stream was not resumed."
+            cause = cause;
+            "Failed to resume the stream at the upstream."
         );
         false
     }
 
-    fn stop(&mut self, ended: Ended, cause: &str) -> BodyError {
+    fn abort(&mut self, ended: Ended, cause: &str) -> BodyError {
         if let Some((_, slot)) = self.source.take() {
-            slot.end(ended);
+            slot.release(ended);
         }
-        self.is_over = true;
+        self.is_finished = true;
         self.log("broken off", cause);
         cause.to_owned().into()
     }
 
     fn finish(&mut self, cause: &str) {
         if let Some((_, slot)) = self.source.take() {
-            slot.end(Ended::Well);
+            slot.release(Ended::Well);
         }
-        self.is_over = true;
+        self.is_finished = true;
         self.log("whole", cause);
     }
 
     fn log(&self, outcome: &str, cause: &str) {
-        let took = self.exchange.millis_since_arrival(self.state.now());
+        let elapsed = self.exchange.millis_since_arrival(self.state.now());
         log::info!(
-            target: "gateway", request = self.exchange.call.id.as_str(),
+            target: "gateway", request = self.exchange.meta.id.as_str(),
             outcome = outcome, cause = cause, events = self.events.count(),
-            took_ms = took;
-            "A stream ended."
+            took_ms = elapsed;
+            "Stream ended."
         );
     }
 }
--- a/crates/sequoiawing_gateway/src/settings.rs
+++ b/crates/sequoiawing_gateway/src/settings.rs
@@ -5,40 +5,40 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 
-/// The settings of a gateway.
+/// Settings of a gateway.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct GatewaySettings {
     /// The name of this host, unique in the deployment.
     pub host: Name,
-    /// The data centre of this host.
+    /// The data centre that this host is in.
     pub centre: Name,
-    /// Where callers connect.
+    /// The address at which the gateway accepts callers' requests.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the gateway is ready.
+    /// The address of the readiness check that the load balancer polls.
     pub ready: SocketAddr,
-    /// Where metrics are scraped, on an internal address; nowhere when none is
-    /// given.
+    /// The internal address at which metrics are scraped; metrics are off when
+    /// it is not set.
     pub metrics: Option<SocketAddr>,
-    /// Some of the hubs; the others are learnt from them.
+    /// The addresses of some hubs; the gateway discovers the others from them.
     pub hubs: Vec<SocketAddr>,
-    /// The secret that all processes of the deployment share.
+    /// The secret shared by all processes of the deployment.
     pub secret: String,
-    /// How long the gateway still takes connections when it shuts down and the
-    /// balancer is told that it is not ready, in milliseconds.
+    /// How long the gateway accepts connections after shutdown has begun and the
+    /// readiness check fails, in milliseconds.
     pub farewell: u64,
-    /// How long open requests may take after that, in milliseconds.
+    /// How long open requests may take to finish after that, in milliseconds.
     pub drain: u64,
-    /// The most connections of callers at once.
+    /// The maximum number of concurrent connections from callers.
     pub connections: usize,
-    /// How long a connection to an upstream may be idle and still be used, in
-    /// milliseconds.
+    /// How long a connection to an upstream may stay idle before it is no longer
+    /// reused, in milliseconds.
     pub upstream_idle: u64,
-    /// The repeats that each request pays for, in thousandths.
+    /// The retry budget that each request adds, in thousandths of a retry.
     pub repeat_ratio: u64,
-    /// The repeats in a window beyond those, over all hosts.
+    /// The retries allowed per window in addition, over all hosts.
     pub repeat_slack: u64,
-    /// The window in which repeats are counted, in milliseconds.
+    /// The window over which retries are counted, in milliseconds.
     pub repeat_window: u64,
 }
 
@@ -65,8 +65,8 @@
 }
 
 impl GatewaySettings {
-    /// Returns how often requests may be sent again.
-    pub(crate) fn retries(&self) -> RetryLimits {
+    /// Returns the limits on retries.
+    pub(crate) fn retry_limits(&self) -> RetryLimits {
         RetryLimits {
             ratio: self.repeat_ratio,
             slack: self.repeat_slack,
--- /dev/null
+++ b/crates/sequoiawing_gateway/src/slots.rs
@@ -0,0 +1,186 @@
+//! Slots at upstreams and the wait for them.
+
+use crate::{GatewayExchange, GatewayState, state::DemandEvent};
+use futures_lite::FutureExt;
+use sequoiawing_policy::serving::{Assigned, Ended, Pick, ReportedLoad, ServingWork};
+use sequoiawing_router::{Code, Refused};
+use sequoiawing_runtime::sleep;
+use sequoiawing_types::{Name, Time};
+use std::{sync::Arc, time::Duration};
+
+/// Divides the route's latency target to get the longest wait for capacity. A
+/// longer wait only delays the refusal of callers that are refused anyway.
+const CAPACITY_WAIT_DIVISOR: u32 = 8;
+
+/// Divides the remaining time to get the longest wait for a model load.
+const LOAD_WAIT_DIVISOR: u32 = 2;
+
+/// The longest wait for a model load on routes with a shorter latency target.
+/// Loads from memory and disk finish within it.
+const MAX_LOAD_WAIT: Duration = Duration::from_millis(1_500);
+
+/// Divides the remaining time to get the longest wait for notice of a load.
+const PROPAGATION_WAIT_DIVISOR: u32 = 4;
+
+/// How long a request waits past the estimated end of a load, since the
+/// upstream's announcement arrives with the next report.
+const LOAD_SLACK: Duration = Duration::from_millis(300);
+
+/// The retry delay for callers whose model is not being loaded.
+const MODEL_MISSING_RETRY: Duration = Duration::from_millis(1_500);
+
+/// The retry delay for callers while no upstream is known.
+const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(500);
+
+/// A slot for one request at an upstream, released on drop.
+pub(crate) struct Slot {
+    state: Arc<GatewayState>,
+    pub(crate) assigned: Assigned,
+    ended: Ended,
+}
+
+impl Slot {
+    /// Returns the name of the upstream.
+    pub(crate) fn upstream(&self) -> &Name {
+        &self.assigned.name
+    }
+
+    /// Records the load that the upstream reported.
+    pub(crate) fn report_load(&self, load: ReportedLoad) {
+        self.state.report_load(&self.assigned, load);
+    }
+
+    /// Releases the slot with the outcome of the request.
+    pub(crate) fn release(mut self, ended: Ended) {
+        self.ended = ended;
+    }
+
+    /// Sets the outcome that is recorded when the slot is released.
+    pub(crate) fn set_ended(&mut self, ended: Ended) {
+        self.ended = ended;
+    }
+}
+
+impl Drop for Slot {
+    fn drop(&mut self) {
+        self.state.release(&self.assigned, self.ended);
+    }
+}
+
+/// A search for a slot at an upstream.
+pub(crate) struct SlotSearch<'a> {
+    state: &'a Arc<GatewayState>,
+    exchange: &'a GatewayExchange,
+    started: Time,
+    is_demand_recorded: bool,
+}
+
+impl<'a> SlotSearch<'a> {
+    pub(crate) fn new(state: &'a Arc<GatewayState>, exchange: &'a GatewayExchange) -> Self {
+        Self {
+            state,
+            exchange,
+            started: state.now(),
+            is_demand_recorded: false,
+        }
+    }
+
+    /// Returns a slot if one is available now.
+    pub(crate) fn try_acquire(&self, work: &ServingWork) -> Option<Slot> {
+        match self.state.pick(work) {
+            Pick::Send(assigned) => Some(self.slot(assigned)),
+            _ => None,
+        }
+    }
+
+    fn slot(&self, assigned: Assigned) -> Slot {
+        Slot {
+            state: self.state.clone(),
+            assigned,
+            ended: Ended::Left,
+        }
+    }
+
+    /// Waits for a slot, as long as one is likely to become available in time.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal when no slot became available.
+    pub(crate) async fn acquire(&mut self, work: &ServingWork) -> Result<Slot, Refused> {
+        loop {
+            let changed = self.state.upstreams_changed.listen();
+            let (until, refused) = match self.state.pick(work) {
+                Pick::Send(assigned) => return Ok(self.slot(assigned)),
+                Pick::Full(retry) => {
+                    self.record_demand(work, DemandEvent::Saturated);
+                    let problem = "all upstreams that can serve the request are full";
+                    let refused = Refused::new(Code::Overloaded, problem).with_retry(retry);
+                    (self.capacity_deadline(), refused)
+                }
+                Pick::Absent => self.wait_for_model(work),
+                Pick::Empty => {
+                    let problem = "no upstream of the pool is known";
+                    let refused =
+                        Refused::new(Code::NoUpstream, problem).with_retry(NO_UPSTREAM_RETRY);
+                    (self.capacity_deadline(), refused)
+                }
+            };
+            let now = self.state.now();
+            let until = until.min(self.exchange.deadline);
+            if now >= until {
+                return Err(refused);
+            }
+            log::debug!(
+                target: "gateway", request = self.exchange.meta.id.as_str(),
+                cause = refused.message.as_str(),
+                wait_ms = u64::try_from((until - now).as_millis()).unwrap_or(u64::MAX);
+                "Request waits for an upstream."
+            );
+            sleep(until - now).or(changed).await;
+        }
+    }
+
+    /// Records unmet demand for the hubs, once per request.
+    fn record_demand(&mut self, work: &ServingWork, event: DemandEvent) {
+        if !self.is_demand_recorded {
+            self.is_demand_recorded = true;
+            self.state.record_demand(work, event);
+        }
+    }
+
+    /// Returns the time until which the request waits for capacity.
+    fn capacity_deadline(&self) -> Time {
+        self.started + self.exchange.route.aim() / CAPACITY_WAIT_DIVISOR
+    }
+
+    /// Returns the time until which a request waits for a model that no upstream
+    /// has loaded, and the refusal after it.
+    fn wait_for_model(&mut self, work: &ServingWork) -> (Time, Refused) {
+        self.record_demand(work, DemandEvent::ModelMissing);
+        let now = self.state.now();
+        let name = work.adapter.as_ref().or(work.model.as_ref());
+        let ready = name.and_then(|model| self.state.time_until_loaded(&work.pool, model));
+        let refuse = |retry| {
+            let problem = "no upstream has the model loaded";
+            Refused::new(Code::NoUpstream, problem).with_retry(retry)
+        };
+        let remaining = self.exchange.remaining(self.started);
+        let Some(ready) = ready else {
+            // Whether the model will be loaded is known once a report has reached
+            // the leader and its order has come back.
+            let delay = self
+                .state
+                .propagation_delay()
+                .min(remaining / PROPAGATION_WAIT_DIVISOR);
+            let until = (self.started + delay).max(self.capacity_deadline());
+            return (until, refuse(MODEL_MISSING_RETRY));
+        };
+        let wait = ready + LOAD_SLACK;
+        let longest = MAX_LOAD_WAIT.max(self.exchange.route.aim());
+        let bound = (remaining / LOAD_WAIT_DIVISOR).min(longest);
+        if now + wait <= self.started + bound {
+            return (now + wait, refuse(LOAD_SLACK));
+        }
+        (self.capacity_deadline(), refuse(wait))
+    }
+}
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -23,89 +23,92 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// How long connecting to an upstream may take; those of the own region answer
+/// Timeout of a connect to an upstream. Upstreams of the same region answer
 /// within a few milliseconds.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long after its estimated end a load counts as done that its upstream
-/// has not announced; upstreams announce models at once, adapters later.
+/// How long after its estimated end a model load counts as done although the
+/// upstream has not announced it. Upstreams announce models at once, adapters
+/// later.
 const LOAD_SLACK: Duration = Duration::from_millis(250);
 
-/// How long no hub may answer before the gateway counts as cut off; several
-/// reporting intervals.
-const CUT_OFF_AFTER: Duration = Duration::from_millis(1_500);
+/// How long all hubs may fail to answer before the gateway counts as
+/// disconnected; several reporting intervals.
+const DISCONNECTED_AFTER: Duration = Duration::from_millis(1_500);
 
-/// How long the leader takes from a report of a missed model to its order, and
-/// hubs to pass both on.
-const NEWS_TIME: Duration = Duration::from_millis(150);
+/// The time from a report of a missing model to the leader's order, including
+/// the forwarding of both by hubs.
+const PROPAGATION_TIME: Duration = Duration::from_millis(150);
 
-/// The pauses between reports that a gateway may spend meanwhile: before its own
-/// report, and before the one that brings the news.
-const NEWS_REPORTS: u32 = 3;
+/// The report intervals that may pass in addition: before the gateway's own
+/// report, and before the one whose response contains the order.
+const PROPAGATION_REPORTS: u32 = 3;
 
-/// The batches of demand that are kept for a hub; older demand is out of date.
-const MAX_BATCHES: usize = 16;
+/// The maximum number of unacknowledged demand batches; older demand is
+/// outdated.
+const MAX_DEMAND_BATCHES: usize = 16;
 
-/// What the gateway heard from one hub.
+/// The state in the last response of one hub.
 #[derive(Debug, Default)]
 struct HubView {
-    heard: Time,
+    last_response: Time,
     epoch: u64,
-    /// Whether its sums are whole.
-    is_settled: bool,
+    /// Whether its usage totals include all gateways.
+    is_complete: bool,
     silent: HashSet<Name>,
 }
 
-/// What the gateway knows of the others.
+/// The state of the other hosts, as reported by hubs.
 #[derive(Debug, Default)]
-struct Others {
+struct ClusterView {
     hubs: HashMap<SocketAddr, HubView>,
-    /// The hub whose sums are followed.
-    counted: Option<(SocketAddr, u64)>,
+    /// The hub whose usage totals apply, and its epoch.
+    usage_source: Option<(SocketAddr, u64)>,
     gateways: u32,
     missing: u32,
-    /// The term of the leader whose loads are known.
+    /// The term of the leader that ordered the loads.
     term: u64,
     loads: Vec<(Time, PlannedLoad)>,
 }
 
-/// What the primary hub has not been told of the demand for models.
+/// The demand for models that no hub has acknowledged.
 #[derive(Debug, Default)]
-struct Demanded {
-    /// What came since the last batch.
-    fresh: HashMap<DemandKey, ModelDemand>,
-    /// The batches that are reported until a hub has taken them.
+struct DemandQueue {
+    /// The demand since the last batch.
+    pending: HashMap<DemandKey, ModelDemand>,
+    /// The batches that are reported until a hub acknowledges them.
     batches: VecDeque<DemandBatch>,
     /// The number of the last batch.
-    number: u64,
+    last_number: u64,
 }
 
-/// Returns the measures, unless nobody scrapes them.
-fn meters(settings: &GatewaySettings) -> Option<Arc<Meters>> {
+/// Creates the metrics if an address to scrape them is configured.
+fn create_meters(settings: &GatewaySettings) -> Option<Arc<Meters>> {
     settings.metrics?;
     let meters = Meters::new("sequoiawing-gateway", &settings.host, &settings.centre);
     let meters = meters.inspect_err(|error| log::warn!(target: "metrics", "{error}."));
     meters.ok().map(Arc::new)
 }
 
-/// What became of a request for a model.
+/// An event in the demand for a model.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Noted {
-    /// It came.
-    Asked {
-        /// The tokens that it declares.
+pub(crate) enum DemandEvent {
+    /// A request arrived.
+    Requested {
+        /// The tokens that the request declares.
         tokens: u64,
     },
-    /// It found no upstream with the model.
-    Missed,
-    /// It found all upstreams with the model full.
-    Crowded,
+    /// No upstream had the model loaded.
+    ModelMissing,
+    /// All upstreams with the model were full.
+    Saturated,
 }
 
 type DemandKey = (Name, Name, Option<Name>);
 
-/// What filters and controllers of a gateway share, each part under a lock of
-/// its own.
+/// The state shared by a gateway's filters and tasks.
+///
+/// Each part has its own lock.
 pub struct GatewayState {
     pub(crate) settings: GatewaySettings,
     pub(crate) dialect: Arc<dyn Dialect>,
@@ -118,18 +121,18 @@
     balancer: Mutex<Balancer>,
     rates: Mutex<HashMap<Name, SharedRate>>,
     retries: Mutex<HashMap<Name, RetryWindow>>,
-    demand: Mutex<Demanded>,
-    others: Mutex<Others>,
+    demand: Mutex<DemandQueue>,
+    cluster: Mutex<ClusterView>,
     pub(crate) hubs: Mutex<HubChoice>,
-    /// Notified when another hub may have to be followed.
-    pub(crate) rechosen: Event,
+    /// Notified when the roles of hubs may have changed.
+    pub(crate) hubs_changed: Event,
     /// Whether shutdown has begun.
-    pub(crate) leaving: AtomicBool,
-    /// Notified when an upstream may have room or a model.
-    pub(crate) changed: Event,
-    /// Notified when hubs should be told at once.
-    pub(crate) urgent: Event,
-    pub(crate) open: AtomicU64,
+    pub(crate) is_stopping: AtomicBool,
+    /// Notified when an upstream may have gained capacity or a model.
+    pub(crate) upstreams_changed: Event,
+    /// Notified when a report should be sent without delay.
+    pub(crate) urgent_report: Event,
+    pub(crate) open_requests: AtomicU64,
 }
 
 impl GatewayState {
@@ -143,8 +146,8 @@
         let incarnation = since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX));
         Self {
             dialect,
-            client: HttpClient::with_idle_limit(CONNECT_LIMIT, idle),
-            meters: meters(&settings),
+            client: HttpClient::with_idle_limit(CONNECT_TIMEOUT, idle),
+            meters: create_meters(&settings),
             settings,
             incarnation,
             clock: Clock::start(),
@@ -154,40 +157,41 @@
             rates: Mutex::default(),
             retries: Mutex::default(),
             demand: Mutex::default(),
-            others: Mutex::default(),
+            cluster: Mutex::default(),
             hubs: Mutex::new(hubs),
-            rechosen: Event::new(),
-            leaving: AtomicBool::new(false),
-            changed: Event::new(),
-            urgent: Event::new(),
-            open: AtomicU64::new(0),
+            hubs_changed: Event::new(),
+            is_stopping: AtomicBool::new(false),
+            upstreams_changed: Event::new(),
+            urgent_report: Event::new(),
+            open_requests: AtomicU64::new(0),
         }
     }
 
-    /// Returns the time on this process's clock.
+    /// Returns the time since the gateway's start.
     pub fn now(&self) -> Time {
         Time::ZERO + self.clock.elapsed()
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the active configuration.
     pub fn index(&self) -> Arc<CatalogIndex> {
         self.index.load_full()
     }
 
-    /// Reports whether callers may be sent here.
+    /// Returns whether the gateway accepts requests: it has a configuration and is
+    /// not shutting down.
     pub fn is_ready(&self) -> bool {
-        !self.leaving.load(Ordering::Relaxed) && self.index.load().version() > 0
+        !self.is_stopping.load(Ordering::Relaxed) && self.index.load().version() > 0
     }
 
-    /// Returns how many hosts share the limits.
-    fn view(&self, now: Time) -> RateView {
-        let others = self.others.lock();
-        let heard = others.hubs.values().map(|h| h.heard).max();
-        let heard = heard.unwrap_or(Time::ZERO);
+    /// Returns the gateways that share the rate limits.
+    fn rate_view(&self, now: Time) -> RateView {
+        let cluster = self.cluster.lock();
+        let last_response = cluster.hubs.values().map(|h| h.last_response).max();
+        let last_response = last_response.unwrap_or(Time::ZERO);
         RateView {
-            hosts: others.gateways,
-            missing: others.missing,
-            is_cut_off: now.since(heard) > CUT_OFF_AFTER,
+            hosts: cluster.gateways,
+            missing: cluster.missing,
+            is_cut_off: now.since(last_response) > DISCONNECTED_AFTER,
         }
     }
 
@@ -195,148 +199,148 @@
     ///
     /// # Errors
     ///
-    /// Returns the time after which asking again may help, and what is known of
-    /// the other hosts.
+    /// Returns the retry delay and the state of the other hosts when the
+    /// customer's rate is exceeded.
     pub(crate) fn charge(&self, customer: &Client, units: u64) -> Result<(), (Duration, RateView)> {
         if !customer.is_limited() {
             return Ok(());
         }
         let now = self.now();
-        let view = self.view(now);
+        let rate_view = self.rate_view(now);
         let mut rates = self.rates.lock();
         let rate = rates
             .entry(customer.name.clone())
             .or_insert_with(|| SharedRate::new(now, customer.rate, customer.burst));
-        let admitted = rate.admit(now, units, view);
+        let admitted = rate.admit(now, units, rate_view);
         drop(rates);
         if admitted.is_err() {
-            self.urgent.notify(usize::MAX);
+            self.urgent_report.notify(usize::MAX);
         }
-        admitted.map_err(|retry| (retry, view))
+        admitted.map_err(|retry| (retry, rate_view))
     }
 
-    /// Returns what a customer used here.
-    pub(crate) fn used_by(&self, customer: &Name) -> u64 {
+    /// Returns the units that a customer has used at this gateway.
+    pub(crate) fn usage_of(&self, customer: &Name) -> u64 {
         let rates = self.rates.lock();
         rates.get(customer).map_or(0, SharedRate::used)
     }
 
-    /// Gives back what a request was charged that did not run.
-    pub(crate) fn give_back(&self, customer: &Client, units: u64) {
+    /// Refunds the units of a request that did not run.
+    pub(crate) fn refund(&self, customer: &Client, units: u64) {
         if let Some(rate) = self.rates.lock().get_mut(&customer.name) {
             rate.give_back(units);
         }
     }
 
-    /// Notes the first sending of a request to a pool.
-    pub(crate) fn note_request(&self, pool: &Name) {
-        let (now, limits) = (self.now(), self.settings.retries());
+    /// Counts a new request to a pool, which adds to the retry budget.
+    pub(crate) fn record_request(&self, pool: &Name) {
+        let (now, limits) = (self.now(), self.settings.retry_limits());
         let mut retries = self.retries.lock();
         let window = retries.entry(pool.clone()).or_default();
         window.note_request(now, &limits);
     }
 
-    /// Counts a repeat, if the limits have room for it.
-    pub(crate) fn take_repeat(&self, pool: &Name) -> bool {
-        let (now, limits) = (self.now(), self.settings.retries());
-        let hosts = self.others.lock().gateways;
+    /// Takes a retry from the pool's budget; returns whether one was left.
+    pub(crate) fn take_retry(&self, pool: &Name) -> bool {
+        let (now, limits) = (self.now(), self.settings.retry_limits());
+        let hosts = self.cluster.lock().gateways;
         let mut retries = self.retries.lock();
         let window = retries.entry(pool.clone()).or_default();
         window.take(now, &limits, hosts)
     }
 
-    /// Counts what became of a request for a model.
-    pub(crate) fn note_demand(&self, work: &ServingWork, noted: Noted) {
+    /// Adds an event to the demand for the request's model.
+    pub(crate) fn record_demand(&self, work: &ServingWork, event: DemandEvent) {
         let Some(model) = &work.model else {
             return;
         };
         let key = (work.pool.clone(), model.clone(), work.adapter.clone());
-        let mut demanded = self.demand.lock();
-        let demand = demanded.fresh.entry(key).or_insert_with(|| ModelDemand {
+        let mut queue = self.demand.lock();
+        let demand = queue.pending.entry(key).or_insert_with(|| ModelDemand {
             pool: work.pool.clone(),
             model: model.clone(),
             adapter: work.adapter.clone(),
             ..ModelDemand::default()
         });
-        match noted {
-            Noted::Asked { tokens } => {
+        match event {
+            DemandEvent::Requested { tokens } => {
                 demand.asked += 1;
                 demand.tokens += tokens;
                 return;
             }
-            Noted::Missed => demand.missed += 1,
-            Noted::Crowded => demand.crowded += 1,
+            DemandEvent::ModelMissing => demand.missed += 1,
+            DemandEvent::Saturated => demand.crowded += 1,
         }
-        drop(demanded);
-        self.urgent.notify(usize::MAX);
+        drop(queue);
+        self.urgent_report.notify(usize::MAX);
     }
 
-    /// Returns the demand to be reported next.
+    /// Returns the unacknowledged demand batches, with one for new demand.
     pub(crate) fn demand_batches(&self) -> Vec<DemandBatch> {
-        let mut demanded = self.demand.lock();
-        if !demanded.fresh.is_empty() {
-            let fresh = std::mem::take(&mut demanded.fresh);
-            demanded.number += 1;
+        let mut queue = self.demand.lock();
+        if !queue.pending.is_empty() {
+            let pending = std::mem::take(&mut queue.pending);
+            queue.last_number += 1;
             let batch = DemandBatch {
-                number: demanded.number,
-                demand: fresh.into_values().collect(),
+                number: queue.last_number,
+                demand: pending.into_values().collect(),
             };
-            demanded.batches.push_back(batch);
-            if demanded.batches.len() > MAX_BATCHES {
-                demanded.batches.pop_front();
+            queue.batches.push_back(batch);
+            if queue.batches.len() > MAX_DEMAND_BATCHES {
+                queue.batches.pop_front();
             }
         }
-        demanded.batches.iter().cloned().collect()
+        queue.batches.iter().cloned().collect()
     }
 
-    /// Notes that a hub has taken the batches up to a number.
-    pub(crate) fn demand_taken(&self, number: u64) {
-        let mut demanded = self.demand.lock();
-        demanded.batches.retain(|b| b.number > number);
+    /// Drops the batches up to a number, which a hub has acknowledged.
+    pub(crate) fn acknowledge_demand(&self, last_number: u64) {
+        let mut queue = self.demand.lock();
+        queue.batches.retain(|b| b.number > last_number);
     }
 
-    /// Returns what is wanted of a hub.
+    /// Returns the role of a hub.
     pub(crate) fn hub_role(&self, hub: SocketAddr) -> HubRole {
         self.hubs.lock().role(self.now(), hub)
     }
 
-    /// Notes that a hub did not answer; reports whether it is forgotten.
-    pub(crate) fn lose_hub(&self, hub: SocketAddr) -> bool {
+    /// Records that a hub did not answer; returns whether it was removed.
+    pub(crate) fn record_hub_failure(&self, hub: SocketAddr) -> bool {
         let now = self.now();
         let mut hubs = self.hubs.lock();
         hubs.fail(now, hub);
-        let is_forgotten = hubs.forget(now, hub);
+        let is_removed = hubs.forget(now, hub);
         let has_changed = hubs.has_changed(now);
         drop(hubs);
         if has_changed {
-            self.rechosen.notify(usize::MAX);
+            self.hubs_changed.notify(usize::MAX);
         }
-        is_forgotten
+        is_removed
     }
 
-    /// Takes in what a hub is, and the other hubs that it names.
-    pub(crate) fn hear_hub(&self, hub: SocketAddr, fact: HubFact, others: &[IpAddr]) {
+    /// Records a hub's facts and adds the other hubs that it lists.
+    pub(crate) fn update_hub(&self, hub: SocketAddr, fact: HubFact, hosts: &[IpAddr]) {
         let now = self.now();
         let mut hubs = self.hubs.lock();
-        for host in others {
+        for host in hosts {
             hubs.add(now, SocketAddr::new(*host, hub.port()), false);
         }
         hubs.hear(now, hub, fact);
         let has_changed = hubs.has_changed(now);
         drop(hubs);
         if has_changed {
-            self.rechosen.notify(usize::MAX);
+            self.hubs_changed.notify(usize::MAX);
         }
     }
 
-    /// Returns how long it takes, about, until a missed model shows among the
-    /// loads.
-    pub(crate) fn news_time(&self) -> Duration {
-        NEWS_TIME + self.hubs.lock().pause() * NEWS_REPORTS
+    /// Returns the estimated time until the load of a missing model is known
+    /// here.
+    pub(crate) fn propagation_delay(&self) -> Duration {
+        PROPAGATION_TIME + self.hubs.lock().pause() * PROPAGATION_REPORTS
     }
 
-    /// Returns how long to wait before a hub is spoken to again.
-    pub(crate) fn hub_pause(&self, hub: SocketAddr) -> Duration {
+    /// Returns the delay before the next call to a hub.
+    pub(crate) fn poll_delay(&self, hub: SocketAddr) -> Duration {
         let now = self.now();
         let hubs = self.hubs.lock();
         if hubs.role(now, hub) == HubRole::Probed {
@@ -346,8 +350,8 @@
         }
     }
 
-    /// Returns what each customer used here.
-    pub(crate) fn used(&self) -> Vec<(Name, u64)> {
+    /// Returns the units that each customer has used at this gateway.
+    pub(crate) fn usage(&self) -> Vec<(Name, u64)> {
         let rates = self.rates.lock();
         let used = rates.iter().map(|(name, r)| (name.clone(), r.used()));
         used.collect()
@@ -358,87 +362,96 @@
         self.balancer.lock().pick(self.now(), work)
     }
 
-    /// Returns the upstreams that could not be reached just now.
+    /// Returns the upstreams that recently could not be reached.
     pub(crate) fn unreachable(&self) -> Vec<Name> {
         self.balancer.lock().unreachable(self.now())
     }
 
-    /// Returns the upstreams that answered just now.
+    /// Returns the upstreams that recently answered.
     pub(crate) fn reached(&self) -> Vec<Name> {
         self.balancer.lock().reached(self.now())
     }
 
-    pub(crate) fn report(&self, assigned: &Assigned, load: ReportedLoad) {
+    /// Records the load that an upstream reported.
+    pub(crate) fn report_load(&self, assigned: &Assigned, load: ReportedLoad) {
         let mut balancer = self.balancer.lock();
         balancer.report(self.now(), assigned.key, load);
     }
 
-    pub(crate) fn end(&self, assigned: &Assigned, ended: Ended) {
+    /// Releases the slot of a request with its outcome.
+    pub(crate) fn release(&self, assigned: &Assigned, ended: Ended) {
         self.balancer.lock().end(self.now(), assigned.key, ended);
         if matches!(ended, Ended::Missed | Ended::Broken) {
             self.client.forget(assigned.address);
         }
         if ended == Ended::Missed {
-            self.urgent.notify(usize::MAX);
+            self.urgent_report.notify(usize::MAX);
         }
-        self.changed.notify(usize::MAX);
+        self.upstreams_changed.notify(usize::MAX);
     }
 
-    /// Returns when a model should be loaded, if a load is under way.
-    pub(crate) fn load_ready(&self, pool: &Name, model: &Name) -> Option<Duration> {
+    /// Returns the estimated time until a model is loaded, if a load is in
+    /// progress.
+    pub(crate) fn time_until_loaded(&self, pool: &Name, model: &Name) -> Option<Duration> {
         let now = self.now();
-        let others = self.others.lock();
-        let loads = others.loads.iter();
-        let fitting = loads.filter(|(_, l)| l.pool == *pool && l.model == *model);
-        fitting.map(|(at, _)| at.since(now)).min()
-    }
-
-    /// Takes in what a hub answered; `reported` is what it was told of the use
-    /// here.
-    pub(crate) fn hear(&self, hub: SocketAddr, news: HubNews, reported: &[(Name, u64)]) {
+        let cluster = self.cluster.lock();
+        let loads = cluster.loads.iter();
+        let matching = loads.filter(|(_, l)| l.pool == *pool && l.model == *model);
+        matching.map(|(at, _)| at.since(now)).min()
+    }
+
+    /// Applies a hub's response to a report; `reported` is the local usage that
+    /// the report contained.
+    pub(crate) fn apply_hub_update(
+        &self,
+        hub: SocketAddr,
+        update: HubNews,
+        reported: &[(Name, u64)],
+    ) {
         let now = self.now();
-        if let Some(catalog) = news.catalog {
-            self.put_in_force(now, &catalog);
+        if let Some(catalog) = update.catalog {
+            self.apply_catalog(now, &catalog);
         }
-        self.take_roster(now, &news.roster.listed);
-        self.hubs.lock().set_gateways(news.gateways);
-        let mut others = self.others.lock();
-        others.gateways = news.gateways;
-        others.missing = news.missing;
-        if let Some(ordered) = news.ordered {
-            self.take_ordered(now, &mut others, ordered);
+        self.apply_roster(now, &update.roster.listed);
+        self.hubs.lock().set_gateways(update.gateways);
+        let mut cluster = self.cluster.lock();
+        cluster.gateways = update.gateways;
+        cluster.missing = update.missing;
+        if let Some(ordered) = update.ordered {
+            self.apply_ordered(now, &mut cluster, ordered);
         }
         if let Some(meters) = &self.meters {
             meters.set_state(self.index.load().version(), false);
-            let open = usize::try_from(self.open.load(Ordering::Relaxed));
+            let open = usize::try_from(self.open_requests.load(Ordering::Relaxed));
             meters.set_requests(0, open.unwrap_or(usize::MAX));
         }
-        others.hubs.insert(
+        cluster.hubs.insert(
             hub,
             HubView {
-                heard: now,
-                epoch: news.epoch,
-                is_settled: news.settled,
-                silent: news.silent.into_iter().collect(),
+                last_response: now,
+                epoch: update.epoch,
+                is_complete: update.settled,
+                silent: update.silent.into_iter().collect(),
             },
         );
-        let silent = others.silent(now);
-        let (counted, is_new) = others.counted(now);
-        drop(others);
+        let silent = cluster.silent_upstreams(now);
+        let (usage_source, is_new) = cluster.select_usage_source(now);
+        drop(cluster);
         self.balancer.lock().set_silent(&silent);
-        if counted == Some(hub) {
-            self.count(now, &news.used, reported, is_new);
+        if usage_source == Some(hub) {
+            self.apply_usage(now, &update.used, reported, is_new);
         }
-        self.changed.notify(usize::MAX);
+        self.upstreams_changed.notify(usize::MAX);
     }
 
-    /// Takes in what the leader has ordered.
-    fn take_ordered(&self, now: Time, others: &mut Others, ordered: OrderedLoads) {
-        if ordered.term < others.term {
+    /// Applies the model loads and evictions that the leader ordered.
+    fn apply_ordered(&self, now: Time, cluster: &mut ClusterView, ordered: OrderedLoads) {
+        if ordered.term < cluster.term {
             return;
         }
-        others.term = ordered.term;
-        // Times before this process's start count as its start.
+        cluster.term = ordered.term;
+        // `Time` can't precede this process's start, so overdue loads count as due
+        // now.
         let at = |l: &PlannedLoad| match l.late {
             0 => now + Duration::from_millis(l.ready),
             _ => now,
@@ -459,13 +472,13 @@
         balancer.set_expected(expected);
         balancer.set_evicted(ordered.evicted);
         drop(balancer);
-        others.loads = loads;
+        cluster.loads = loads;
     }
 
-    /// Takes in what all gateways used. A customer that a hub does not list has
-    /// used nothing yet, so that its first use elsewhere counts.
-    fn count(&self, now: Time, used: &[(Name, u64)], reported: &[(Name, u64)], is_new: bool) {
-        let view = self.view(now);
+    /// Applies the usage of all gateways. A customer that the hub does not list
+    /// counts as unused, so that its first usage elsewhere is charged.
+    fn apply_usage(&self, now: Time, used: &[(Name, u64)], reported: &[(Name, u64)], is_new: bool) {
+        let rate_view = self.rate_view(now);
         let index = self.index();
         let used: HashMap<&Name, u64> = used.iter().map(|(n, u)| (n, *u)).collect();
         let own: HashMap<&Name, u64> = reported.iter().map(|(n, u)| (n, *u)).collect();
@@ -477,22 +490,22 @@
                 .entry(limits.name.clone())
                 .or_insert_with(|| SharedRate::new(now, limits.rate, limits.burst));
             let total = of(&used, &limits.name);
-            rate.hear(now, total, of(&own, &limits.name), is_new, view);
+            rate.hear(now, total, of(&own, &limits.name), is_new, rate_view);
         }
     }
 
-    /// Puts a configuration in force unless the present one is as new.
-    fn put_in_force(&self, now: Time, catalog: &Arc<Catalog>) {
-        // The lock orders configurations that several hubs hand out at once.
+    /// Activates a configuration if it is newer than the current one.
+    fn apply_catalog(&self, now: Time, catalog: &Arc<Catalog>) {
+        // The lock serializes configurations that arrive from several hubs.
         let mut balancer = self.balancer.lock();
-        let former = self.index.load().version();
-        if catalog.version <= former {
+        let current = self.index.load().version();
+        if catalog.version <= current {
             return;
         }
         log::info!(
-            target: "gateway", version = catalog.version, former = former,
+            target: "gateway", version = catalog.version, former = current,
             routes = catalog.routes.len();
-            "A configuration is in force."
+            "Configuration activated."
         );
         for pool in &catalog.pools {
             let kept = pool.engine.as_ref().map_or(0, |e| e.tokens);
@@ -500,41 +513,41 @@
         }
         self.index.store(Arc::new(CatalogIndex::new(catalog)));
         drop(balancer);
-        let view = self.view(now);
+        let rate_view = self.rate_view(now);
         let mut rates = self.rates.lock();
         for customer in &catalog.customers {
             if let Some(rate) = rates.get_mut(&customer.name) {
-                rate.set_limits(now, customer.rate, customer.burst, view);
+                rate.set_limits(now, customer.rate, customer.burst, rate_view);
             }
         }
     }
 
-    fn take_roster(&self, now: Time, listed: &[Listed]) {
+    fn apply_roster(&self, now: Time, listed: &[Listed]) {
         if listed.is_empty() {
             return;
         }
         let mut roster = self.roster.lock();
-        let before = roster.since(Cursor::default(), Interest::Changes).cursor;
-        for one in listed {
-            roster.take(now, one.clone());
+        let cursor = roster.since(Cursor::default(), Interest::Changes).cursor;
+        for entry in listed {
+            roster.take(now, entry.clone());
         }
-        // What the roster makes of it, which knows late entries.
-        let news = roster.since(before, Interest::Changes);
+        // The roster ignores outdated entries.
+        let changes = roster.since(cursor, Interest::Changes);
         drop(roster);
         let mut balancer = self.balancer.lock();
-        for one in &news.listed {
+        for entry in &changes.listed {
             log::info!(
-                target: "gateway", upstream = one.state.name.as_str(),
-                gone = one.gone, leaving = one.state.leaving,
-                models = one.state.loaded.len(), sequence = one.state.sequence;
-                "An upstream changed."
+                target: "gateway", upstream = entry.state.name.as_str(),
+                gone = entry.gone, leaving = entry.state.leaving,
+                models = entry.state.loaded.len(), sequence = entry.state.sequence;
+                "Upstream changed."
             );
-            if one.gone
-                && let Some(address) = one.state.address
+            if entry.gone
+                && let Some(address) = entry.state.address
             {
                 self.client.forget(address);
             }
-            balancer.update(one);
+            balancer.update(entry);
         }
     }
 
@@ -542,21 +555,21 @@
     pub fn dump(&self) -> serde_json::Value {
         let roster = self.roster.lock();
         let upstreams: Vec<_> = roster.present().map(|s| s.as_ref().clone()).collect();
-        let others = self.others.lock();
+        let cluster = self.cluster.lock();
         serde_json::json!({
             "version": self.index.load().version(),
             "upstreams": upstreams,
-            "gateways": others.gateways,
-            "missing": others.missing,
-            "open": self.open.load(Ordering::Relaxed),
+            "gateways": cluster.gateways,
+            "missing": cluster.missing,
+            "open": self.open_requests.load(Ordering::Relaxed),
         })
     }
 }
 
-impl Others {
-    /// Returns the upstreams that all hubs in touch call silent.
-    fn silent(&self, now: Time) -> HashSet<Name> {
-        let is_fresh = |h: &&HubView| now.since(h.heard) <= CUT_OFF_AFTER;
+impl ClusterView {
+    /// Returns the upstreams that all connected hubs report as silent.
+    fn silent_upstreams(&self, now: Time) -> HashSet<Name> {
+        let is_fresh = |h: &&HubView| now.since(h.last_response) <= DISCONNECTED_AFTER;
         let mut views = self.hubs.values().filter(is_fresh);
         let Some(first) = views.next() else {
             return HashSet::new();
@@ -567,19 +580,19 @@
         agreed.cloned().collect()
     }
 
-    /// Returns the hub whose sums are followed, and whether they are another
-    /// count than before.
-    fn counted(&mut self, now: Time) -> (Option<SocketAddr>, bool) {
+    /// Selects the hub whose usage totals apply, and returns whether it or its
+    /// epoch changed.
+    fn select_usage_source(&mut self, now: Time) -> (Option<SocketAddr>, bool) {
         let is_fresh = |at: &SocketAddr| {
             let view = self.hubs.get(at);
-            view.is_some_and(|v| v.is_settled && now.since(v.heard) <= CUT_OFF_AFTER)
+            view.is_some_and(|v| v.is_complete && now.since(v.last_response) <= DISCONNECTED_AFTER)
         };
-        let kept = self.counted.filter(|(at, _)| is_fresh(at));
+        let kept = self.usage_source.filter(|(at, _)| is_fresh(at));
         let chosen = kept.map(|(at, _)| at);
         let chosen = chosen.or_else(|| self.hubs.keys().copied().filter(is_fresh).min());
         let next = chosen.map(|at| (at, self.hubs[&at].epoch));
-        let is_new = next != self.counted;
-        self.counted = next;
+        let is_new = next != self.usage_source;
+        self.usage_source = next;
         (chosen, is_new)
     }
 }
