--- a/crates/sequoiawing_gateway/src/attempt.rs
+++ b/crates/sequoiawing_gateway/src/attempt.rs
@@ -69,7 +69,7 @@
                 };
                 (ended, Ok(UpstreamResponse::Buffered(parts, bytes)))
             }
-            Some(Err(error)) => (error.ended(), Err(error)),
+            Some(Err(failure)) => (failure.ended(), Err(failure)),
         };
     slot.release(ended);
     result
--- a/crates/sequoiawing_gateway/src/daemon.rs
+++ b/crates/sequoiawing_gateway/src/daemon.rs
@@ -139,7 +139,7 @@
     chain: Chain<GatewayExchange>,
 }
 
-fn log_refusal(exchange: &GatewayExchange, refused: &Refused, elapsed: Duration) {
+fn log_refusal(exchange: &GatewayExchange, refused: &Refused, latency: Duration) {
     log::info!(
         target: "gateway", request = exchange.meta.id.as_str(),
         route = exchange.route.name.as_str(), version = exchange.index.version(),
@@ -147,7 +147,7 @@
         code = format!("{:?}", refused.code), ran = refused.ran.as_str(),
         cause = refused.message.as_str(),
         retry_ms = refused.retry.map(|r| u64::try_from(r.as_millis()).unwrap_or(u64::MAX)),
-        took_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
+        took_ms = u64::try_from(latency.as_millis()).unwrap_or(u64::MAX);
         "Request refused."
     );
 }
@@ -169,11 +169,11 @@
         let mut exchange = GatewayExchange::new(state.now(), state.index(), request);
         let arrival = exchange.arrival;
         let result = self.chain.run(&mut exchange).await;
-        let elapsed = state.now().since(arrival);
+        let latency = state.now().since(arrival);
         let response = match result {
             Ok(response) => response,
             Err(refused) => {
-                log_refusal(&exchange, &refused, elapsed);
+                log_refusal(&exchange, &refused, latency);
                 state
                     .dialect
                     .refusal_response(&refused, Some(&exchange.meta.id))
@@ -185,7 +185,7 @@
                 route: exchange.route.name.clone(),
                 model: exchange.meta.model.clone().unwrap_or_default(),
             };
-            meters.answered(&asked, response.status().as_u16(), elapsed);
+            meters.answered(&asked, response.status().as_u16(), latency);
         }
         response
     }
--- a/crates/sequoiawing_gateway/src/filters/forward.rs
+++ b/crates/sequoiawing_gateway/src/filters/forward.rs
@@ -104,14 +104,14 @@
                     );
                     return Ok(buffered_response(parts, bytes));
                 }
-                Err(error) => {
+                Err(failure) => {
                     log::info!(
                         target: "gateway", request = exchange.meta.id.as_str(),
                         upstream = upstream.as_str(), sent = progress.attempts + 1,
-                        cause = format!("{error:?}");
+                        cause = format!("{failure:?}");
                         "Attempt failed."
                     );
-                    self.handle_failure(exchange, &mut progress, error)?;
+                    self.handle_failure(exchange, &mut progress, failure)?;
                 }
             }
         }
@@ -122,10 +122,10 @@
         &self,
         exchange: &GatewayExchange,
         progress: &mut Progress,
-        error: AttemptError,
+        failure: AttemptError,
     ) -> Result<(), Refused> {
         let ran = progress.ran;
-        match error {
+        match failure {
             AttemptError::NotSent(cause) => {
                 progress.connect_failures += 1;
                 if progress.connect_failures < MAX_CONNECT_FAILURES {
--- a/crates/sequoiawing_gateway/src/hub_sync.rs
+++ b/crates/sequoiawing_gateway/src/hub_sync.rs
@@ -103,7 +103,7 @@
     state: Arc<GatewayState>,
     hub: SocketAddr,
     stub: Stub<HubClient>,
-    position: Mutex<SyncPosition>,
+    sync_position: Mutex<SyncPosition>,
 }
 
 /// The position up to which the hub's updates have been received.
@@ -121,7 +121,7 @@
             state,
             hub,
             stub: Stub::new(hub, secret),
-            position: Mutex::default(),
+            sync_position: Mutex::default(),
         }
     }
 
@@ -161,18 +161,18 @@
         };
         let last_batch = demand.last().map_or(0, |batch| batch.number);
         let usage = state.usage();
-        let position = *self.position.lock();
+        let sync_position = *self.sync_position.lock();
         let report = GatewayReport {
             host: state.settings.host.clone(),
             incarnation: state.incarnation,
             leaving: state.is_stopping.load(Ordering::Relaxed),
             version: state.index().version(),
-            cursor: position.cursor,
+            cursor: sync_position.cursor,
             used: usage.clone(),
             demand,
             unreachable: state.unreachable(),
             reached: state.reached(),
-            seen: position.seen,
+            seen: sync_position.seen,
             wait: u64::try_from(wait.as_millis()).unwrap_or_default(),
         };
         let call = async |client: HubClient, context| client.sync(context, report).await;
@@ -184,7 +184,7 @@
             }
         };
         state.acknowledge_demand(last_batch);
-        *self.position.lock() = SyncPosition {
+        *self.sync_position.lock() = SyncPosition {
             cursor: update.roster.cursor,
             seen: update.seen,
         };
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -222,9 +222,9 @@
                 return true;
             }
             Ok(UpstreamResponse::Buffered(parts, _)) => format!("status {}", parts.status),
-            Err(error) => {
-                self.attempts += u32::from(!matches!(error, AttemptError::NotSent(_)));
-                format!("{error:?}")
+            Err(failure) => {
+                self.attempts += u32::from(!matches!(failure, AttemptError::NotSent(_)));
+                format!("{failure:?}")
             }
         };
         log::info!(
@@ -253,11 +253,11 @@
     }
 
     fn log(&self, outcome: &str, cause: &str) {
-        let elapsed = self.exchange.millis_since_arrival(self.state.now());
+        let latency = self.exchange.millis_since_arrival(self.state.now());
         log::info!(
             target: "gateway", request = self.exchange.meta.id.as_str(),
             outcome = outcome, cause = cause, events = self.events.count(),
-            took_ms = elapsed;
+            took_ms = latency;
             "Stream ended."
         );
     }
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -528,26 +528,26 @@
         }
         let mut roster = self.roster.lock();
         let cursor = roster.since(Cursor::default(), Interest::Changes).cursor;
-        for entry in listed {
-            roster.take(now, entry.clone());
+        for item in listed {
+            roster.take(now, item.clone());
         }
         // The roster ignores outdated entries.
         let changes = roster.since(cursor, Interest::Changes);
         drop(roster);
         let mut balancer = self.balancer.lock();
-        for entry in &changes.listed {
+        for item in &changes.listed {
             log::info!(
-                target: "gateway", upstream = entry.state.name.as_str(),
-                gone = entry.gone, leaving = entry.state.leaving,
-                models = entry.state.loaded.len(), sequence = entry.state.sequence;
+                target: "gateway", upstream = item.state.name.as_str(),
+                gone = item.gone, leaving = item.state.leaving,
+                models = item.state.loaded.len(), sequence = item.state.sequence;
                 "Upstream changed."
             );
-            if entry.gone
-                && let Some(address) = entry.state.address
+            if item.gone
+                && let Some(address) = item.state.address
             {
                 self.client.forget(address);
             }
-            balancer.update(entry);
+            balancer.update(item);
         }
     }
 
