--- a/crates/sequoiawing_hub/src/boards.rs
+++ b/crates/sequoiawing_hub/src/aggregation.rs
@@ -6,32 +6,33 @@
     time::Duration,
 };
 
-/// How long a gateway may be silent before it counts as missing; several of
-/// its reporting intervals.
+/// How long after its last report a gateway counts as missing; several reporting
+/// intervals.
 const MISSING_AFTER: Duration = Duration::from_millis(1_500);
 
-/// How long a missing gateway may still serve callers behind a partition; a
-/// killed one is back or replaced by then.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+/// How long a missing gateway still counts, since it may serve callers behind a
+/// network partition. A crashed one is restarted or replaced within this time.
+const REMOVED_AFTER: Duration = Duration::from_secs(20);
 
-/// How long the counters of a gateway are kept, so that what it used before a
-/// long partition is not counted again after it.
-const KEPT_FOR: Duration = Duration::from_mins(10);
+/// How long the counters of a gateway are kept, so that usage before a long
+/// partition is not counted again after it.
+const RETENTION: Duration = Duration::from_mins(10);
 
-/// The gateways that must have failed to reach an upstream before it counts as
-/// unreachable; one alone may be cut off.
-const LEAST_WITNESSES: usize = 2;
+/// The number of gateways that must have failed to reach an upstream before it
+/// counts as unreachable; a single one may itself be disconnected.
+const MIN_FAILED_GATEWAYS: usize = 2;
 
-/// What one gateway reported, here or to another hub.
+/// The last report of a gateway, to this hub or to another.
 #[derive(Clone, Debug, Serialize)]
 struct Gateway {
     incarnation: u64,
+    /// When the last report was received, here or by another hub.
     heard: Time,
     leaving: bool,
     used: BTreeMap<Name, u64>,
     unreachable: Vec<Name>,
     reached: Vec<Name>,
-    /// The stamp of its last report to this hub; 0 without one.
+    /// The stamp of its last report to this hub; 0 if there was none.
     reported: u64,
 }
 
@@ -48,38 +49,38 @@
         }
     }
 
-    /// Returns how long it counts as a gateway without a report.
-    fn patience(&self) -> Duration {
+    /// Returns how long the gateway still counts after its last report.
+    fn presence_timeout(&self) -> Duration {
         if self.leaving {
             MISSING_AFTER
         } else {
-            FORGOTTEN_AFTER
+            REMOVED_AFTER
         }
     }
 
     fn is_present(&self, now: Time) -> bool {
-        now.since(self.heard) <= self.patience()
+        now.since(self.heard) <= self.presence_timeout()
     }
 }
 
-/// Adds up what customers used at all gateways.
+/// Aggregates the customers' usage over all gateways.
 ///
-/// The sums only grow, also when a gateway starts anew, so that a gateway that
-/// follows them learns how much was used since it last asked. Counters are
-/// merged by their maximum, so that a gateway may report to several hubs, and
-/// hubs may pass reports on in any order and more than once.
+/// The totals are monotonic, also across restarts of gateways, so that a gateway
+/// can derive the usage since its last report. Counters are merged by their
+/// maximum: a gateway may report to several hubs, and hubs may forward reports
+/// in any order and more than once.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct UsageBoard {
+pub struct UsageAggregator {
     gateways: BTreeMap<Name, Gateway>,
     totals: BTreeMap<Name, u64>,
     stamp: u64,
-    /// Whether a gateway had been used before it was first heard of.
+    /// Whether a gateway already had usage when it was first seen.
     is_rebuilt: bool,
 }
 
-impl UsageBoard {
-    /// Takes in a report.
-    pub fn take(&mut self, now: Time, report: &GatewayReport) {
+impl UsageAggregator {
+    /// Records the report of a gateway.
+    pub fn record(&mut self, now: Time, report: &GatewayReport) {
         self.stamp += 1;
         let stamp = self.stamp;
         let used = GatewayUse {
@@ -97,28 +98,28 @@
         }
     }
 
-    /// Takes in what a gateway told another hub.
-    pub fn merge(&mut self, now: Time, told: &GatewayUse) {
-        // What was told before this process started counts from its start.
-        let heard = Time::ZERO + now.since(Time::ZERO + Duration::from_millis(told.age));
-        if !self.gateways.contains_key(&told.host) {
-            self.is_rebuilt |= told.used.iter().any(|(_, used)| *used > 0);
+    /// Merges the usage that a gateway reported to another hub.
+    pub fn merge(&mut self, now: Time, usage: &GatewayUse) {
+        // A report from before this process's start counts as of its start.
+        let heard = Time::ZERO + now.since(Time::ZERO + Duration::from_millis(usage.age));
+        if !self.gateways.contains_key(&usage.host) {
+            self.is_rebuilt |= usage.used.iter().any(|(_, used)| *used > 0);
         }
-        let gateway = self.gateways.entry(told.host.clone());
-        let gateway = gateway.or_insert_with(|| Gateway::new(told.incarnation, heard));
-        if told.incarnation < gateway.incarnation {
+        let gateway = self.gateways.entry(usage.host.clone());
+        let gateway = gateway.or_insert_with(|| Gateway::new(usage.incarnation, heard));
+        if usage.incarnation < gateway.incarnation {
             return;
         }
-        if told.incarnation > gateway.incarnation {
-            *gateway = Gateway::new(told.incarnation, heard);
+        if usage.incarnation > gateway.incarnation {
+            *gateway = Gateway::new(usage.incarnation, heard);
         }
         if heard >= gateway.heard {
             gateway.heard = heard;
-            gateway.leaving = told.leaving;
-            gateway.unreachable.clone_from(&told.unreachable);
-            gateway.reached.clone_from(&told.reached);
+            gateway.leaving = usage.leaving;
+            gateway.unreachable.clone_from(&usage.unreachable);
+            gateway.reached.clone_from(&usage.reached);
         }
-        for (customer, used) in &told.used {
+        for (customer, used) in &usage.used {
             let known = gateway.used.entry(customer.clone()).or_default();
             let fresh = used.saturating_sub(*known);
             *known += fresh;
@@ -126,12 +127,13 @@
         }
     }
 
-    /// Returns what gateways told this hub since a stamp, and the newest stamp.
-    pub fn since(&self, now: Time, stamp: u64) -> (u64, Vec<GatewayUse>) {
-        // A stamp of a former start of this hub is beyond the present ones.
+    /// Returns the newest stamp, and the usage that gateways reported to this hub
+    /// after `stamp`.
+    pub fn changes_since(&self, now: Time, stamp: u64) -> (u64, Vec<GatewayUse>) {
+        // A stamp from before this hub's restart exceeds the current ones.
         let after = if stamp > self.stamp { 0 } else { stamp };
         let newer = self.gateways.iter().filter(|(_, g)| g.reported > after);
-        let told = newer.map(|(host, g)| GatewayUse {
+        let usage = newer.map(|(host, g)| GatewayUse {
             host: host.clone(),
             incarnation: g.incarnation,
             leaving: g.leaving,
@@ -140,31 +142,31 @@
             reached: g.reached.clone(),
             age: u64::try_from(now.since(g.heard).as_millis()).unwrap_or(u64::MAX),
         });
-        (self.stamp, told.collect())
+        (self.stamp, usage.collect())
     }
 
-    /// Forgets gateways that left or were silent for very long.
+    /// Removes gateways whose last report is older than the retention period.
     pub fn expire(&mut self, now: Time) {
-        self.gateways.retain(|_, g| now.since(g.heard) <= KEPT_FOR);
+        self.gateways.retain(|_, g| now.since(g.heard) <= RETENTION);
     }
 
-    /// Returns what each customer used in all.
+    /// Returns the total usage of each customer.
     pub fn totals(&self) -> Vec<(Name, u64)> {
         let totals = self.totals.iter();
         totals.map(|(name, used)| (name.clone(), *used)).collect()
     }
 
-    /// Reports whether the sums were begun while gateways were in use, as after
-    /// a restart of the hub: they then grow by use that is long past.
+    /// Returns whether the totals started while gateways already had usage, as
+    /// after a restart of the hub: they then grow by past usage.
     pub fn is_rebuilt(&self) -> bool {
         self.is_rebuilt
     }
 
-    /// Returns the upstreams that gateways in touch could not reach just now:
-    /// more of them than reached it, and two where there are as many.
+    /// Returns the upstreams that recently could not be reached by more connected
+    /// gateways than reached them, and by at least two if two are connected.
     ///
-    /// Most gateways of a large deployment have not tried a given upstream
-    /// lately, so that only those that have are asked.
+    /// Only gateways that recently tried an upstream count, since in a large
+    /// deployment most have not.
     pub fn unreachable(&self, now: Time) -> BTreeSet<Name> {
         let is_fresh = |g: &&Gateway| now.since(g.heard) <= MISSING_AFTER;
         let fresh: Vec<&Gateway> = self.gateways.values().filter(is_fresh).collect();
@@ -181,14 +183,15 @@
                 }
             }
         }
-        let least = fresh.len().min(LEAST_WITNESSES);
-        let agreed = counts.into_iter();
-        let agreed = agreed.filter(|(_, (missed, reached))| *missed >= least && missed > reached);
-        agreed.map(|(name, _)| name.clone()).collect()
+        let required = fresh.len().min(MIN_FAILED_GATEWAYS);
+        let unreachable = counts.into_iter();
+        let unreachable =
+            unreachable.filter(|(_, (missed, reached))| *missed >= required && missed > reached);
+        unreachable.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns the number of gateways, and of those that are missing.
-    pub fn gateways(&self, now: Time) -> (u32, u32) {
+    /// Returns the number of gateways, and how many of them are missing.
+    pub fn count_gateways(&self, now: Time) -> (u32, u32) {
         let present: Vec<&Gateway> = self
             .gateways
             .values()
@@ -201,16 +204,16 @@
     }
 }
 
-/// Finds out what is new in the demand that gateways report.
+/// Filters out demand that a gateway has reported before.
 #[derive(Clone, Debug, Default)]
-pub struct DemandBoard {
-    /// The incarnation and the last batch of each gateway.
+pub struct DemandDeduplicator {
+    /// The incarnation and the last batch number of each gateway.
     gateways: BTreeMap<Name, (u64, u64)>,
 }
 
-impl DemandBoard {
-    /// Takes in a report and returns the demand of the batches that are new.
-    pub fn take(&mut self, report: &GatewayReport) -> Vec<ModelDemand> {
+impl DemandDeduplicator {
+    /// Records a report and returns the demand of its new batches.
+    pub fn accept(&mut self, report: &GatewayReport) -> Vec<ModelDemand> {
         let known = self.gateways.entry(report.host.clone()).or_default();
         let former = *known;
         let is_new = |batch: &&DemandBatch| (report.incarnation, batch.number) > former;
@@ -221,7 +224,7 @@
         demand.collect()
     }
 
-    /// Forgets gateways that no longer report.
+    /// Keeps only the gateways for which `is_kept` returns true.
     pub fn retain<F>(&mut self, is_kept: F)
     where
         F: Fn(&Name) -> bool,
--- a/crates/sequoiawing_hub/src/engine.rs
+++ b/crates/sequoiawing_hub/src/engine.rs
@@ -4,42 +4,44 @@
 use sequoiawing_types::Name;
 use std::{sync::Arc, time::Duration};
 
-/// An order to an engine, with what keeps it from doing harm when it is late.
+/// An order to an engine, with the preconditions that make a delayed order
+/// harmless.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineOrder {
-    /// What to do.
+    /// The operation.
     pub kind: OrderKind,
-    /// The host that orders.
+    /// The host that gives the order.
     pub holder: Name,
-    /// The term in which it may; an engine refuses a lower one than it has
-    /// seen.
+    /// The term of the host's leadership, as fencing token: an engine refuses
+    /// terms lower than the highest that it has seen.
     pub fence: u64,
-    /// The number of orders that the engine has accepted before this one; it
-    /// refuses the order if there were others.
+    /// The number of orders that the engine has accepted before this one. It
+    /// refuses the order if its own number differs.
     pub expected: Option<u64>,
 }
 
-/// How a hub speaks to engines.
+/// The client with which a hub calls engines.
 pub trait EngineClient: Send + Sync {
     /// Sends an order.
-    fn order<'a>(
+    fn send_order<'a>(
         &'a self,
         engine: &'a UpstreamState,
         order: &'a EngineOrder,
     ) -> BoxFuture<'a, EngineReply>;
 
-    /// Asks an engine for its state; nothing when it does not answer.
-    fn report<'a>(&'a self, engine: &'a UpstreamState) -> BoxFuture<'a, Option<EngineReport>>;
+    /// Fetches an engine's state; `None` if it does not answer.
+    fn fetch_report<'a>(&'a self, engine: &'a UpstreamState)
+    -> BoxFuture<'a, Option<EngineReport>>;
 }
 
-/// Whether and how a hub orders loads.
+/// Options of the loader, which orders engines to load models.
 #[derive(Clone)]
-pub struct Ordering {
-    /// How engines are spoken to.
+pub struct LoaderOptions {
+    /// The client for calls to engines.
     pub client: Arc<dyn EngineClient>,
-    /// How long a new leader waits before its first order, so that none of its
-    /// predecessor's comes in between.
+    /// How long no other host may have given orders before a new leader gives
+    /// its first, so that no order of a predecessor arrives in between.
     pub handover: Duration,
-    /// What loads are bounded by.
+    /// The limits on loads.
     pub loader: LoaderSettings,
 }
--- a/crates/sequoiawing_hub/src/hub.rs
+++ b/crates/sequoiawing_hub/src/hub.rs
@@ -1,4 +1,6 @@
-use crate::{DemandBoard, Ordering, UsageBoard, loader, mirror, relay, service::HubService};
+use crate::{
+    DemandDeduplicator, LoaderOptions, UsageAggregator, loader, mirror, relay, service::HubService,
+};
 use event_listener::Event;
 use parking_lot::Mutex;
 use sequoiawing_catalog::Document;
@@ -19,70 +21,70 @@
     time::Duration,
 };
 
-/// How often what is old is forgotten.
+/// How often outdated state is removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long one wait for a newer configuration lasts.
+/// How long one wait for a newer configuration lasts before it is renewed.
 const REVISION_WAIT: Duration = Duration::from_secs(30);
 
-/// How long a call to the hub that leads may take; callers of the operator's
-/// interface turn to another host after a second.
-const LEADER_LIMIT: Duration = Duration::from_millis(900);
+/// Timeout of a call to the leader's hub. Callers of the operator's interface
+/// turn to another host after a second.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a proposal waits before it asks again who leads.
-const LEADER_PAUSE: Duration = Duration::from_millis(50);
+/// The delay before a call is retried while the leader is unknown.
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long after the start of a hub its sums may lack gateways: they report
-/// to it or to another hub within a few of their intervals.
-const SETTLED_AFTER: Duration = Duration::from_secs(2);
+/// How long after the start of a hub its usage totals may lack gateways. These
+/// report to this or another hub within a few reporting intervals.
+const USAGE_SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// How long what a leader ordered is passed on without news of it.
-const ORDERED_LIFE: Duration = Duration::from_secs(2);
+/// How long a leader's ordered loads are passed on without an update of them.
+const ORDERED_LOADS_TTL: Duration = Duration::from_secs(2);
 
-/// How long a hub may be out of touch with the log's majority and still be told
-/// what upstreams announce; an election is over by then.
-const LINKED_AGE: Duration = Duration::from_secs(2);
+/// How long a hub may lack contact with the log's majority and still receive the
+/// announcements of upstreams. An election takes less time.
+const MAX_MAJORITY_AGE: Duration = Duration::from_secs(2);
 
-/// The settings of a hub.
+/// Settings of a hub.
 #[derive(Clone, Debug)]
 pub struct HubSettings {
     /// The name of this host.
     pub host: Name,
-    /// The data centre of this host.
+    /// The data centre that this host is in.
     pub centre: Name,
-    /// Where gateways and other hubs connect; the port is the same on all
-    /// hosts with a hub.
+    /// The address at which gateways and other hubs connect. The port is the
+    /// same on all hosts with a hub.
     pub link: SocketAddr,
-    /// The secret that all processes of the deployment share.
+    /// The secret shared by all processes of the deployment.
     pub secret: Secret,
-    /// How long an upstream may announce nothing before it counts as silent.
-    pub silence: Duration,
+    /// How long after its last announcement an upstream counts as silent.
+    pub silence_timeout: Duration,
 }
 
-/// What a hub knows.
+/// The state of a hub.
 pub(crate) struct HubState {
     pub(crate) settings: HubSettings,
     pub(crate) handle: ControllerHandle,
     pub(crate) epoch: u64,
     clock: Clock,
     pub(crate) roster: Mutex<Roster>,
-    pub(crate) usage: Mutex<UsageBoard>,
-    demand: Mutex<DemandBoard>,
-    /// The demand that the loader has not seen.
-    pub(crate) fresh: Mutex<Vec<ModelDemand>>,
-    /// The demand that the leader's hub has not been told.
-    pub(crate) relayed: Mutex<Vec<ModelDemand>>,
-    /// Notified when there is demand to relay.
-    pub(crate) relaying: Event,
-    /// Counts what gateways and other hubs should look at soon.
-    pub(crate) stirred: Watch<u64>,
-    /// Counts what the loader alone should look at soon.
-    pub(crate) asked: Watch<u64>,
-    /// What the leader ordered, and when that was heard.
-    pub(crate) ordered: Mutex<Option<(Time, OrderedLoads)>>,
-    /// When this host gave its last order.
+    pub(crate) usage: Mutex<UsageAggregator>,
+    demand: Mutex<DemandDeduplicator>,
+    /// The demand that the loader has not processed.
+    pub(crate) pending_demand: Mutex<Vec<ModelDemand>>,
+    /// The demand that has not been sent to the leader's hub.
+    pub(crate) outgoing_demand: Mutex<Vec<ModelDemand>>,
+    /// Notified when there is demand to send to the leader's hub.
+    pub(crate) demand_queued: Event,
+    /// Counts changes that gateways and other hubs should get without delay.
+    pub(crate) changes: Watch<u64>,
+    /// Counts wake-ups of the loader.
+    pub(crate) loader_wakeups: Watch<u64>,
+    /// The loads that the leader ordered, and when they were received.
+    pub(crate) ordered_loads: Mutex<Option<(Time, OrderedLoads)>>,
+    /// When this host last gave an order to an engine.
     pub(crate) last_order: Mutex<Option<Time>>,
-    /// The upstreams that gateways can't reach.
+    /// The upstreams that gateways cannot reach.
     pub(crate) unreachable: Mutex<BTreeSet<Name>>,
     stubs: Mutex<HashMap<IpAddr, Stub<HubClient>>>,
 }
@@ -92,7 +94,7 @@
         Time::ZERO + self.clock.elapsed()
     }
 
-    /// Returns the client of the hub on another host.
+    /// Returns the RPC client for the hub on another host.
     pub(crate) fn stub(&self, host: IpAddr) -> Stub<HubClient> {
         let mut stubs = self.stubs.lock();
         let stub = stubs.entry(host).or_insert_with(|| {
@@ -102,7 +104,7 @@
         stub.clone()
     }
 
-    /// Returns the hosts of all hubs.
+    /// Returns the addresses of all hosts with a hub.
     pub(crate) fn hubs(&self) -> Vec<IpAddr> {
         let members = self.handle.status().members;
         let mut hosts: Vec<IpAddr> = members.iter().map(|m| m.address.ip()).collect();
@@ -111,66 +113,67 @@
         hosts
     }
 
-    /// Has gateways, other hubs and the loader look again.
-    pub(crate) fn stir(&self) {
-        self.stirred.set(self.stirred.get() + 1);
+    /// Wakes the loader and the waiting requests of gateways and other hubs.
+    pub(crate) fn notify_changed(&self) {
+        self.changes.set(self.changes.get() + 1);
         self.wake_loader();
     }
 
-    /// Takes in a report, and answers as soon as something is new.
+    /// Records a gateway's report, and responds once there are changes or the wait
+    /// is over.
     pub(crate) async fn sync(&self, report: &GatewayReport) -> HubNews {
-        self.take(report);
+        self.record_report(report);
         let wait = Duration::from_millis(report.wait);
         let is_new = |seen: &u64| *seen != report.seen;
-        timeout(wait, self.stirred.wait_until(is_new)).await;
-        self.news(report)
+        timeout(wait, self.changes.wait_until(is_new)).await;
+        self.build_news(report)
     }
 
-    fn take(&self, report: &GatewayReport) {
-        let fresh = self.demand.lock().take(report);
+    fn record_report(&self, report: &GatewayReport) {
+        let fresh = self.demand.lock().accept(report);
         if self.handle.leadership().is_some() {
-            self.take_demand(fresh);
+            self.add_demand(fresh);
         } else if !fresh.is_empty() {
-            self.relayed.lock().extend(fresh);
-            self.relaying.notify(1);
+            self.outgoing_demand.lock().extend(fresh);
+            self.demand_queued.notify(1);
         }
-        self.usage.lock().take(self.now(), report);
-        self.look_at_reach();
+        self.usage.lock().record(self.now(), report);
+        self.update_unreachable();
     }
 
-    /// Hands demand to the loader, if it works here.
-    pub(crate) fn take_demand(&self, fresh: Vec<ModelDemand>) {
+    /// Adds demand for the loader if this host leads, and drops it otherwise.
+    pub(crate) fn add_demand(&self, fresh: Vec<ModelDemand>) {
         if fresh.is_empty() || self.handle.leadership().is_none() {
             return;
         }
         let has_missed = fresh.iter().any(|d| d.missed + d.crowded > 0);
-        self.fresh.lock().extend(fresh);
+        self.pending_demand.lock().extend(fresh);
         if has_missed {
             self.wake_loader();
         }
     }
 
-    /// Has the loader look again.
+    /// Wakes the loader.
     pub(crate) fn wake_loader(&self) {
-        self.asked.set(self.asked.get() + 1);
+        self.loader_wakeups.set(self.loader_wakeups.get() + 1);
     }
 
-    /// Finds out which upstreams gateways can't reach.
-    pub(crate) fn look_at_reach(&self) {
+    /// Updates the set of upstreams that gateways cannot reach.
+    pub(crate) fn update_unreachable(&self) {
         let unreachable = self.usage.lock().unreachable(self.now());
-        let mut known = self.unreachable.lock();
-        if *known != unreachable {
+        let mut current = self.unreachable.lock();
+        if *current != unreachable {
             log::info!(
-                target: "hub", upstreams = names(unreachable.iter());
-                "Other upstreams are out of the gateways' reach than before."
+                target: "hub", upstreams = join_names(unreachable.iter());
+                "Set of unreachable upstreams changed."
             );
-            *known = unreachable;
-            drop(known);
+            *current = unreachable;
+            drop(current);
             self.wake_loader();
         }
     }
 
-    /// Returns what this hub is.
+    /// Returns the facts by which gateways choose among hubs.
     pub(crate) fn facts(&self) -> HubFacts {
         HubFacts {
             centre: self.settings.centre.clone(),
@@ -184,17 +187,17 @@
         }
     }
 
-    fn news(&self, report: &GatewayReport) -> HubNews {
+    fn build_news(&self, report: &GatewayReport) -> HubNews {
         let now = self.now();
-        let seen = self.stirred.get();
+        let seen = self.changes.get();
         let usage = self.usage.lock();
-        let (gateways, missing) = usage.gateways(now);
+        let (gateways, missing) = usage.count_gateways(now);
         let used = usage.totals();
-        let settled = !usage.is_rebuilt() || now >= Time::ZERO + SETTLED_AFTER;
+        let settled = !usage.is_rebuilt() || now >= Time::ZERO + USAGE_SETTLE_TIME;
         drop(usage);
         let roster = self.roster.lock();
         let news = roster.since(report.cursor, Interest::Changes);
-        let silent = roster.silent(now, self.settings.silence);
+        let silent = roster.silent(now, self.settings.silence_timeout);
         drop(roster);
         let catalog = self.handle.tables().catalog.clone();
         HubNews {
@@ -207,58 +210,59 @@
             settled,
             gateways,
             missing,
-            ordered: self.ordered(now),
+            ordered: self.ordered_loads(now),
             seen,
         }
     }
 
-    /// Answers another hub, as soon as something is new.
+    /// Responds to another hub once there are changes or the wait is over.
     pub(crate) async fn mirror(&self, request: &MirrorRequest) -> MirrorNews {
         let wait = Duration::from_millis(request.wait);
         let is_new = |seen: &u64| *seen != request.seen;
-        timeout(wait, self.stirred.wait_until(is_new)).await;
+        timeout(wait, self.changes.wait_until(is_new)).await;
         let now = self.now();
-        let seen = self.stirred.get();
+        let seen = self.changes.get();
         let roster = self.roster.lock();
         let roster = roster.since(request.cursor, Interest::Announcements);
-        let (stamp, uses) = self.usage.lock().since(now, request.stamp);
+        let (stamp, uses) = self.usage.lock().changes_since(now, request.stamp);
         let leads = self.handle.leadership().is_some();
         MirrorNews {
             roster,
             uses,
             stamp,
-            ordered: self.ordered(now).filter(|_| leads),
+            ordered: self.ordered_loads(now).filter(|_| leads),
             seen,
         }
     }
 
-    /// Takes in what the leader's hub says that it ordered.
-    pub(crate) fn take_ordered(&self, ordered: OrderedLoads) {
+    /// Sets the loads that the leader's hub ordered, unless they are of an older
+    /// term.
+    pub(crate) fn set_ordered_loads(&self, ordered: OrderedLoads) {
         let now = self.now();
-        let mut known = self.ordered.lock();
-        if known.as_ref().is_some_and(|(_, o)| o.term > ordered.term) {
+        let mut current = self.ordered_loads.lock();
+        if current.as_ref().is_some_and(|(_, o)| o.term > ordered.term) {
             return;
         }
-        let names = |ordered: &OrderedLoads| -> Vec<(Name, Name)> {
+        let targets = |ordered: &OrderedLoads| -> Vec<(Name, Name)> {
             let loads = ordered.loads.iter();
             loads
                 .map(|l| (l.model.clone(), l.upstream.clone()))
                 .collect()
         };
-        let is_same = known.as_ref().is_some_and(|(_, former)| {
-            former.evicted == ordered.evicted && names(former) == names(&ordered)
+        let is_same = current.as_ref().is_some_and(|(_, former)| {
+            former.evicted == ordered.evicted && targets(former) == targets(&ordered)
         });
-        *known = Some((now, ordered));
-        drop(known);
+        *current = Some((now, ordered));
+        drop(current);
         if !is_same {
-            self.stir();
+            self.notify_changed();
         }
     }
 
-    /// Returns what the leader ordered, by the time of now.
-    fn ordered(&self, now: Time) -> Option<OrderedLoads> {
-        let ordered = self.ordered.lock().clone();
-        let (at, ordered) = ordered.filter(|(at, _)| now.since(*at) <= ORDERED_LIFE)?;
+    /// Returns the loads that the leader ordered, with times relative to `now`.
+    fn ordered_loads(&self, now: Time) -> Option<OrderedLoads> {
+        let ordered = self.ordered_loads.lock().clone();
+        let (at, ordered) = ordered.filter(|(at, _)| now.since(*at) <= ORDERED_LOADS_TTL)?;
         let age = millis(now.since(at));
         let aged = ordered.loads.into_iter().map(|load| PlannedLoad {
             ready: load.ready.saturating_sub(age),
@@ -277,16 +281,16 @@
         self.usage.lock().expire(now);
     }
 
-    /// Puts a configuration in force through the log.
-    pub(crate) async fn replace_here(&self, document: Document) -> Result<u64, ControlError> {
+    /// Commits a configuration through the log.
+    pub(crate) async fn replace_as_leader(&self, document: Document) -> Result<u64, ControlError> {
         match self.handle.propose(&Command::Replace(document)).await? {
             Outcome::Replaced(version) => Ok(version),
             _ => Err(ControlError::Uncertain),
         }
     }
 
-    /// Returns the configuration in force, if this host leads.
-    pub(crate) async fn document_here(&self) -> Result<Document, ControlError> {
+    /// Returns the active configuration if this host leads.
+    pub(crate) async fn document_as_leader(&self) -> Result<Document, ControlError> {
         Ok(self.handle.read().await?.document())
     }
 
@@ -296,7 +300,7 @@
         serde_json::json!({
             "upstreams": upstreams,
             "usage": *self.usage.lock(),
-            "ordered": self.ordered(self.now()),
+            "ordered": self.ordered_loads(self.now()),
             "version": self.handle.tables().catalog.version,
         })
     }
@@ -306,8 +310,8 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Lists names for the log.
-pub(crate) fn names<'a, I>(names: I) -> String
+/// Joins names with blanks for the log.
+pub(crate) fn join_names<'a, I>(names: I) -> String
 where
     I: IntoIterator<Item = &'a Name>,
 {
@@ -322,15 +326,16 @@
 }
 
 impl Hub {
-    /// Starts a hub beside a controller.
+    /// Starts a hub in the process of a controller, until shutdown starts. The
+    /// loader runs only with `options`.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system when the address is taken.
+    /// Returns the I/O error when the address cannot be bound.
     pub async fn start(
         settings: HubSettings,
         handle: ControllerHandle,
-        ordering: Option<Ordering>,
+        options: Option<LoaderOptions>,
         shutdown: Shutdown,
     ) -> io::Result<Self> {
         let listener = LinkListener::bind(settings.link, settings.secret.clone()).await?;
@@ -343,12 +348,12 @@
             roster: Mutex::new(Roster::new(epoch)),
             usage: Mutex::default(),
             demand: Mutex::default(),
-            fresh: Mutex::default(),
-            relayed: Mutex::default(),
-            relaying: Event::new(),
-            stirred: Watch::default(),
-            asked: Watch::default(),
-            ordered: Mutex::default(),
+            pending_demand: Mutex::default(),
+            outgoing_demand: Mutex::default(),
+            demand_queued: Event::new(),
+            changes: Watch::default(),
+            loader_wakeups: Watch::default(),
+            ordered_loads: Mutex::default(),
             last_order: Mutex::default(),
             unreachable: Mutex::default(),
             stubs: Mutex::default(),
@@ -357,56 +362,56 @@
             state: state.clone(),
         };
         spawn(listener.serve(answer_calls!(service.serve()), shutdown.clone())).detach();
-        spawn(mirror::follow_others(state.clone(), shutdown.clone())).detach();
+        spawn(mirror::mirror_other_hubs(state.clone(), shutdown.clone())).detach();
         spawn(relay::relay_demand(state.clone(), shutdown.clone())).detach();
-        if let Some(ordering) = ordering {
-            spawn(loader::run(state.clone(), ordering, shutdown.clone())).detach();
+        if let Some(options) = options {
+            spawn(loader::run(state.clone(), options, shutdown.clone())).detach();
         }
-        let watching = state.clone();
+        let watcher_state = state.clone();
         spawn(shutdown.clone().cancel(async move {
-            let mut revision = watching.handle.tables().revision;
+            let mut revision = watcher_state.handle.tables().revision;
             loop {
-                if let Some(tables) = watching.handle.newer(revision, REVISION_WAIT).await {
+                if let Some(tables) = watcher_state.handle.newer(revision, REVISION_WAIT).await {
                     revision = tables.revision;
-                    watching.stir();
+                    watcher_state.notify_changed();
                 }
             }
         }))
         .detach();
-        let expiring = state.clone();
+        let expiry_state = state.clone();
         spawn(async move {
             while shutdown.or(sleep(EXPIRY_INTERVAL)).await.is_some() {
-                expiring.expire();
+                expiry_state.expire();
             }
         })
         .detach();
         Ok(Self { state })
     }
 
-    /// Reports whether the configuration in force has a pool; nothing when
-    /// there is no configuration.
-    pub fn knows_pool(&self, pool: &Name) -> Option<bool> {
+    /// Returns whether the active configuration has a pool; `None` if there is no
+    /// configuration.
+    pub fn has_pool(&self, pool: &Name) -> Option<bool> {
         let catalog = self.state.handle.tables().catalog.clone();
-        let is_known = catalog.pools.iter().any(|p| p.name == *pool);
-        (catalog.version > 0).then_some(is_known)
+        let has_pool = catalog.pools.iter().any(|p| p.name == *pool);
+        (catalog.version > 0).then_some(has_pool)
     }
 
-    /// Reports whether the log's majority was lately in touch with this host.
+    /// Returns whether this host recently had contact with the log's majority.
     ///
-    /// Upstreams should announce themselves to another hub while it is not: the
-    /// majority, which orders loads and to which gateways turn, would take them
-    /// for silent. What they announce here counts all the same.
-    pub fn is_linked(&self) -> bool {
-        self.state.handle.age() <= LINKED_AGE
+    /// Upstreams should announce themselves to another hub while it has not: the
+    /// majority, which orders loads and serves the gateways, would consider them
+    /// silent. Announcements to this hub still count.
+    pub fn has_majority_contact(&self) -> bool {
+        self.state.handle.age() <= MAX_MAJORITY_AGE
     }
 
-    /// Returns the host that leads, if it is another.
-    pub fn leader(&self) -> Option<IpAddr> {
+    /// Returns the leader's address if another host leads.
+    pub fn remote_leader(&self) -> Option<IpAddr> {
         let leader = self.state.handle.status().leader?.ip();
         (leader != self.state.settings.link.ip()).then_some(leader)
     }
 
-    /// Takes in the announcement of an upstream.
+    /// Records the announcement of an upstream.
     pub fn announce(&self, state: &UpstreamState) {
         let now = self.state.now();
         let (name, leaving) = (state.name.clone(), state.leaving);
@@ -415,90 +420,91 @@
         if changed {
             log::info!(
                 target: "hub", upstream = name.as_str(), leaving = leaving,
-                start = version.0, sequence = version.1, loaded = names(&state.loaded),
+                start = version.0, sequence = version.1, loaded = join_names(&state.loaded),
                 disk = state.disk.len(), memory = state.cached.len();
-                "An upstream announced a change."
+                "Upstream announced a change."
             );
-            self.state.stir();
+            self.state.notify_changed();
         }
     }
 
-    /// Takes in that an upstream has left; `epoch` names its start, if known.
+    /// Records that an upstream has left; `epoch` identifies its start, if known.
     pub fn leave(&self, name: &Name, epoch: Option<u64>) {
         let now = self.state.now();
         let changed = self.state.roster.lock().leave(now, name, epoch);
         log::info!(
             target: "hub", upstream = name.as_str(), known = changed;
-            "An upstream left."
+            "Upstream left."
         );
-        self.state.stir();
+        self.state.notify_changed();
     }
 
-    /// Puts a configuration in force on a majority, unless the present one is
-    /// as new, and returns the version in force.
+    /// Commits a configuration on a majority if it is newer than the active one,
+    /// and returns the active version.
     ///
     /// # Errors
     ///
-    /// Returns an error when no leader took it in time; it may still come into
-    /// force.
+    /// Returns an error when no leader confirmed it in time; it may still be
+    /// committed later.
     pub async fn replace(&self, document: Document) -> Result<u64, ControlError> {
         let version = document.catalog.version;
-        let known = self.state.handle.tables().catalog.version;
-        // What is applied here is committed.
-        if version <= known {
-            return Ok(known);
+        let current = self.state.handle.tables().catalog.version;
+        // A configuration that is applied here is committed.
+        if version <= current {
+            return Ok(current);
         }
-        self.at_leader(
-            || self.state.replace_here(document.clone()),
+        self.call_leader(
+            || self.state.replace_as_leader(document.clone()),
             |stub| {
                 let document = document.clone();
                 let call =
                     async move |client: HubClient, context| client.replace(context, document).await;
-                async move { stub.call(LEADER_LIMIT, call).await }
+                async move { stub.call(LEADER_TIMEOUT, call).await }
             },
         )
         .await
     }
 
-    /// Returns the configuration in force as of a moment after the call.
+    /// Returns the active configuration as of a time after the call
+    /// (linearizable read).
     ///
     /// # Errors
     ///
-    /// Returns an error when no leader could vouch for it in time.
+    /// Returns an error when no leader confirmed it in time.
     pub async fn document(&self) -> Result<Document, ControlError> {
-        self.at_leader(
-            || self.state.document_here(),
+        self.call_leader(
+            || self.state.document_as_leader(),
             |stub| async move {
                 let call = async |client: HubClient, context| client.document(context).await;
-                stub.call(LEADER_LIMIT, call).await
+                stub.call(LEADER_TIMEOUT, call).await
             },
         )
         .await
     }
 
-    /// Returns the whole state as JSON, without secrets.
+    /// Returns the state as JSON, without secrets.
     pub fn dump(&self) -> serde_json::Value {
         self.state.dump()
     }
 
-    /// Makes a call here if this controller leads, or else at the hub of the
-    /// one that does, until one answers or the time is up.
-    async fn at_leader<T, H, HF, R, RF>(&self, here: H, remote: R) -> Result<T, ControlError>
+    /// Runs `local` if this controller leads, or else `remote` at the leader's
+    /// hub. Retries until one succeeds or the timeout has passed.
+    async fn call_leader<T, L, LF, R, RF>(&self, local: L, remote: R) -> Result<T, ControlError>
     where
-        H: Fn() -> HF,
-        HF: Future<Output = Result<T, ControlError>>,
+        L: Fn() -> LF,
+        LF: Future<Output = Result<T, ControlError>>,
         R: Fn(Stub<HubClient>) -> RF,
         RF: Future<Output = Result<Result<T, ControlError>, sequoiawing_link::LinkError>>,
     {
         let work = async {
             loop {
-                let failed = match here().await {
+                let failure = match local().await {
                     Err(ControlError::NotLeader { leader: Some(at) }) => {
                         match remote(self.state.stub(at.ip())).await {
                             Ok(Err(error @ ControlError::NotLeader { .. })) => error,
                             Ok(result) => return result,
                             Err(error) => {
-                                log::warn!(target: "hub", "The leader did not answer: {error}.");
+                                log::warn!(target: "hub", "Call to the leader's hub failed: {error}.");
                                 ControlError::Uncertain
                             }
                         }
@@ -506,13 +512,13 @@
                     Err(error @ ControlError::NotLeader { .. }) => error,
                     result => return result,
                 };
-                if failed == ControlError::Uncertain {
-                    return Err(failed);
+                if failure == ControlError::Uncertain {
+                    return Err(failure);
                 }
-                sleep(LEADER_PAUSE).await;
+                sleep(LEADER_RETRY_DELAY).await;
             }
         };
-        let answered = timeout(LEADER_LIMIT, Box::pin(work)).await;
-        answered.unwrap_or(Err(ControlError::Uncertain))
+        let result = timeout(LEADER_TIMEOUT, Box::pin(work)).await;
+        result.unwrap_or(Err(ControlError::Uncertain))
     }
 }
--- a/crates/sequoiawing_hub/src/lib.rs
+++ b/crates/sequoiawing_hub/src/lib.rs
@@ -1,11 +1,12 @@
-//! Where upstreams announce themselves and gateways learn of them.
+//! Service discovery and aggregation for upstreams and gateways.
 //!
-//! A hub stands beside each controller. It keeps the roster of upstreams, adds
-//! up what customers use and what models are asked for, and, beside the
-//! controller that leads the log, orders engines to load models. See
+//! A hub runs in the process of each controller. It keeps the roster of
+//! announced upstreams and aggregates the customers' usage and the demand for
+//! models. The hub of the leading controller also orders engines to load
+//! models. See
 //! [docs/design/platform.md](../../../docs/design/platform.md).
 
-mod boards;
+mod aggregation;
 mod engine;
 mod handover;
 mod hub;
@@ -14,6 +15,6 @@
 mod relay;
 mod service;
 
-pub use boards::{DemandBoard, UsageBoard};
-pub use engine::{EngineClient, EngineOrder, Ordering};
+pub use aggregation::{DemandDeduplicator, UsageAggregator};
+pub use engine::{EngineClient, EngineOrder, LoaderOptions};
 pub use hub::{Hub, HubSettings};
--- a/crates/sequoiawing_hub/src/loader.rs
+++ b/crates/sequoiawing_hub/src/loader.rs
@@ -1,8 +1,8 @@
-//! Orders engines to load models while this host leads.
+//! Orders engines to load models while this host is the leader.
 
 use crate::{
-    EngineOrder, Ordering, handover,
-    hub::{HubState, names},
+    EngineOrder, LoaderOptions, handover,
+    hub::{HubState, join_names},
 };
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
@@ -18,46 +18,46 @@
     time::Duration,
 };
 
-/// How often the loader looks at what time has changed.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// How often the loader checks for timeouts and other effects of time.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest time between two looks.
-const LEAST_INTERVAL: Duration = Duration::from_millis(15);
+/// The minimum time between two updates of the loader.
+const MIN_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The term of the first leader that a deployment has.
+/// The term of a deployment's first leader, which has no predecessor.
 const FIRST_TERM: u64 = 1;
 
-/// How often a host that does not lead looks whether it does.
-const LEAD_INTERVAL: Duration = Duration::from_millis(200);
+/// How often other hosts check whether they have become the leader.
+const LEADERSHIP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs until shutdown starts.
-pub(crate) async fn run(state: Arc<HubState>, ordering: Ordering, shutdown: Shutdown) {
-    while shutdown.or(sleep(LEAD_INTERVAL)).await.is_some() {
+/// Runs the loader in each term that this host leads, until shutdown starts.
+pub(crate) async fn run(state: Arc<HubState>, options: LoaderOptions, shutdown: Shutdown) {
+    while shutdown.or(sleep(LEADERSHIP_INTERVAL)).await.is_some() {
         let Some(lease) = state.handle.leadership() else {
             continue;
         };
         let has_predecessor = lease.term > FIRST_TERM;
-        log::info!(target: "loader", term = lease.term, waits = has_predecessor; "This host gives the orders.");
+        log::info!(target: "loader", term = lease.term, waits = has_predecessor; "Loader started: this host is the leader.");
         if has_predecessor {
-            let wait = handover::wait(&state, ordering.handover);
+            let wait = handover::wait_until_quiet(&state, options.handover);
             if shutdown.or(wait).await.is_none() {
                 return;
             }
-            log::info!(target: "loader", term = lease.term; "No other host gives orders.");
+            log::info!(target: "loader", term = lease.term; "Loader handover complete: no other host gives orders.");
         }
-        let lead = Lead::new(state.clone(), ordering.clone(), lease.term);
-        if shutdown.or(lead.run()).await.is_none() {
+        let loader = LoaderTerm::new(state.clone(), options.clone(), lease.term);
+        if shutdown.or(loader.run()).await.is_none() {
             return;
         }
-        *state.ordered.lock() = None;
-        log::info!(target: "loader", term = lease.term; "This host gives no more orders.");
+        *state.ordered_loads.lock() = None;
+        log::info!(target: "loader", term = lease.term; "Loader stopped: this host no longer leads.");
     }
 }
 
-/// One term in which this host gives the orders.
-struct Lead {
+/// The loader in one term that this host leads.
+struct LoaderTerm {
     state: Arc<HubState>,
-    ordering: Ordering,
+    options: LoaderOptions,
     term: u64,
     loader: ModelLoader,
     version: u64,
@@ -68,14 +68,14 @@
     results: Receiver<LoaderEvent>,
 }
 
-impl Lead {
-    fn new(state: Arc<HubState>, ordering: Ordering, term: u64) -> Self {
+impl LoaderTerm {
+    fn new(state: Arc<HubState>, options: LoaderOptions, term: u64) -> Self {
         let (sender, results) = async_channel::unbounded();
-        state.fresh.lock().clear();
+        state.pending_demand.lock().clear();
         Self {
-            loader: ModelLoader::new(ordering.loader),
+            loader: ModelLoader::new(options.loader),
             state,
-            ordering,
+            options,
             term,
             version: 0,
             cursor: Cursor::default(),
@@ -86,60 +86,61 @@
         }
     }
 
-    /// Returns the lease of this term while it runs.
+    /// Returns the lease of this term while it is valid.
     fn lease(&self) -> Option<Leadership> {
         let lease = self.state.handle.leadership();
         lease.filter(|lease| lease.term == self.term)
     }
 
     async fn run(mut self) {
-        let mut seen = self.state.asked.get();
+        let mut seen = self.state.loader_wakeups.get();
         while self.lease().is_some() {
-            self.look();
-            let asked = self.state.asked.clone();
-            let is_asked = async {
-                asked.wait_until(|now| *now != seen).await;
+            self.update();
+            let wakeups = self.state.loader_wakeups.clone();
+            let woken = async {
+                wakeups.wait_until(|now| *now != seen).await;
                 None
             };
             let result = async { self.results.recv().await.ok() };
             let tick = async {
-                sleep(INTERVAL).await;
+                sleep(TICK_INTERVAL).await;
                 None
             };
-            let first = result.or(is_asked).or(tick).await;
-            sleep(LEAST_INTERVAL).await;
-            seen = asked.get();
+            let first = result.or(woken).or(tick).await;
+            sleep(MIN_INTERVAL).await;
+            seen = wakeups.get();
             let results = std::iter::from_fn(|| self.results.try_recv().ok());
             let results: Vec<_> = first.into_iter().chain(results).collect();
             for result in results {
-                self.tell(result);
+                self.handle_event(result);
             }
         }
     }
 
-    fn tell(&mut self, event: LoaderEvent) {
+    fn handle_event(&mut self, event: LoaderEvent) {
         let now = self.state.now();
         let mut out = Vec::new();
         self.loader.handle(now, event, &mut out);
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    /// Takes in what has changed and decides.
-    fn look(&mut self) {
+    /// Passes changes to the loader and executes its decisions.
+    fn update(&mut self) {
         let now = self.state.now();
         let catalog = self.state.handle.tables().catalog.clone();
         if catalog.version > self.version {
             self.version = catalog.version;
-            self.tell(LoaderEvent::Catalog(catalog));
-            // Its pools may have become engines.
+            self.handle_event(LoaderEvent::Catalog(catalog));
+            // Pools may have become pools of engines, so all upstreams are read
+            // again.
             self.cursor = Cursor::default();
         }
-        self.follow_roster(now);
+        self.process_roster(now);
         let unreachable = self.state.unreachable.lock().clone();
-        self.tell(LoaderEvent::Unreachable(unreachable));
-        let fresh = std::mem::take(&mut *self.state.fresh.lock());
-        for demand in fresh {
-            self.tell(LoaderEvent::Demand {
+        self.handle_event(LoaderEvent::Unreachable(unreachable));
+        let demands = std::mem::take(&mut *self.state.pending_demand.lock());
+        for demand in demands {
+            self.handle_event(LoaderEvent::Demand {
                 pool: demand.pool,
                 model: demand.model,
                 adapter: demand.adapter,
@@ -148,35 +149,35 @@
                 crowded: demand.crowded,
             });
         }
-        self.tell(LoaderEvent::Tick);
+        self.handle_event(LoaderEvent::Tick);
         self.publish(now);
     }
 
-    fn follow_roster(&mut self, now: Time) {
+    fn process_roster(&mut self, now: Time) {
         let roster = self.state.roster.lock();
-        let news = roster.since(self.cursor, Interest::Announcements);
-        let silent = roster.silent(now, self.state.settings.silence);
+        let changes = roster.since(self.cursor, Interest::Announcements);
+        let silent = roster.silent(now, self.state.settings.silence_timeout);
         drop(roster);
-        self.cursor = news.cursor;
+        self.cursor = changes.cursor;
         let silent: BTreeSet<Name> = silent.into_iter().collect();
         for name in silent.difference(&self.silent).cloned().collect::<Vec<_>>() {
-            log::info!(target: "loader", upstream = name.as_str(); "An upstream is silent.");
-            self.tell(LoaderEvent::Gone(name));
+            log::info!(target: "loader", upstream = name.as_str(); "Upstream is silent.");
+            self.handle_event(LoaderEvent::Gone(name));
         }
         self.silent = silent;
-        for listed in news.listed {
+        for listed in changes.listed {
             let name = listed.state.name.clone();
             if listed.gone {
                 self.engines.remove(&name);
-                self.tell(LoaderEvent::Gone(name));
+                self.handle_event(LoaderEvent::Gone(name));
                 continue;
             }
             self.engines.insert(name, listed.state.clone());
-            self.tell(LoaderEvent::Upstream(listed.state));
+            self.handle_event(LoaderEvent::Upstream(listed.state));
         }
     }
 
-    /// Shows gateways and other hubs what is being loaded and evicted.
+    /// Publishes the current loads and evictions to gateways and other hubs.
     fn publish(&self, now: Time) {
         let plans = self.loader.plans().into_iter();
         let loads = plans.map(|plan| {
@@ -190,17 +191,17 @@
                 late: u64::try_from(late).unwrap_or(u64::MAX),
             }
         });
-        self.state.take_ordered(OrderedLoads {
+        self.state.set_ordered_loads(OrderedLoads {
             term: self.term,
             loads: loads.collect(),
             evicted: self.loader.evicted(),
         });
     }
 
-    fn carry_out(&self, actions: Vec<LoaderAction>) {
+    fn execute(&self, actions: Vec<LoaderAction>) {
         for action in actions {
             match action {
-                LoaderAction::Report(name) => self.ask(name),
+                LoaderAction::Report(name) => self.request_report(name),
                 LoaderAction::Order {
                     engine,
                     kind,
@@ -212,30 +213,30 @@
                         fence: self.term,
                         expected: Some(expected),
                     };
-                    self.order(engine, order);
+                    self.send_order(engine, order);
                 }
             }
         }
     }
 
-    fn ask(&self, name: Name) {
-        let client = self.ordering.client.clone();
+    fn request_report(&self, name: Name) {
+        let client = self.options.client.clone();
         let engine = self.engines.get(&name).cloned();
         let sender = self.sender.clone();
         spawn(async move {
             let report = match &engine {
-                Some(engine) => client.report(engine).await,
+                Some(engine) => client.fetch_report(engine).await,
                 None => None,
             };
             match &report {
                 Some(report) => log::info!(
                     target: "loader", upstream = name.as_str(), busy = report.busy,
-                    accepted = report.accepted, loaded = names(&report.loaded);
-                    "An engine told its state."
+                    accepted = report.accepted, loaded = join_names(&report.loaded);
+                    "Engine state received."
                 ),
                 None => log::warn!(
                     target: "loader", upstream = name.as_str();
-                    "An engine did not tell its state."
+                    "Engine did not report its state."
                 ),
             }
             let engine = name;
@@ -247,25 +248,25 @@
         .detach();
     }
 
-    fn order(&self, name: Name, order: EngineOrder) {
-        let client = self.ordering.client.clone();
+    fn send_order(&self, name: Name, order: EngineOrder) {
+        let client = self.options.client.clone();
         let engine = self.engines.get(&name).cloned();
         let sender = self.sender.clone();
         let lease = self.lease();
         let state = self.state.clone();
         *state.last_order.lock() = Some(state.now());
         spawn(async move {
-            // The process may have been stopped since the order was decided.
+            // The process may have been suspended since the order was decided.
             let may_order = lease.is_some_and(|l| l.is_valid());
             let reply = match &engine {
-                Some(engine) if may_order => client.order(engine, &order).await,
+                Some(engine) if may_order => client.send_order(engine, &order).await,
                 _ => EngineReply::Fenced,
             };
             *state.last_order.lock() = Some(state.now());
             log::info!(
                 target: "loader", upstream = name.as_str(), order = format!("{:?}", order.kind),
                 term = order.fence, expected = order.expected, reply = format!("{reply:?}");
-                "An order was given."
+                "Engine order finished."
             );
             let engine = name;
             sender
--- a/crates/sequoiawing_hub/src/service.rs
+++ b/crates/sequoiawing_hub/src/service.rs
@@ -6,7 +6,7 @@
 };
 use std::sync::Arc;
 
-/// Answers the calls of gateways and other hubs.
+/// Handles the RPCs of gateways and other hubs.
 #[derive(Clone)]
 pub(crate) struct HubService {
     pub(crate) state: Arc<HubState>,
@@ -26,15 +26,15 @@
     }
 
     async fn demand(self, _: Context, demand: Vec<ModelDemand>) {
-        self.state.take_demand(demand);
+        self.state.add_demand(demand);
     }
 
     async fn replace(self, _: Context, document: Document) -> Result<u64, ControlError> {
-        self.state.replace_here(document).await
+        self.state.replace_as_leader(document).await
     }
 
     async fn document(self, _: Context) -> Result<Document, ControlError> {
-        self.state.document_here().await
+        self.state.document_as_leader().await
     }
 
     async fn dump(self, _: Context) -> String {
