--- a/crates/sequoiawing_hub/src/aggregation.rs
+++ b/crates/sequoiawing_hub/src/aggregation.rs
@@ -83,7 +83,7 @@
     pub fn record(&mut self, now: Time, report: &GatewayReport) {
         self.stamp += 1;
         let stamp = self.stamp;
-        let used = GatewayUse {
+        let usage = GatewayUse {
             host: report.host.clone(),
             incarnation: report.incarnation,
             leaving: report.leaving,
@@ -92,7 +92,7 @@
             reached: report.reached.clone(),
             age: 0,
         };
-        self.merge(now, &used);
+        self.merge(now, &usage);
         if let Some(gateway) = self.gateways.get_mut(&report.host) {
             gateway.reported = stamp;
         }
@@ -184,10 +184,10 @@
             }
         }
         let required = fresh.len().min(MIN_FAILED_GATEWAYS);
-        let unreachable = counts.into_iter();
-        let unreachable =
-            unreachable.filter(|(_, (missed, reached))| *missed >= required && missed > reached);
-        unreachable.map(|(name, _)| name.clone()).collect()
+        let confirmed = counts.into_iter();
+        let confirmed =
+            confirmed.filter(|(_, (missed, reached))| *missed >= required && missed > reached);
+        confirmed.map(|(name, _)| name.clone()).collect()
     }
 
     /// Returns the number of gateways, and how many of them are missing.
