--- a/crates/sequoiawing_hub/src/mirror.rs
+++ b/crates/sequoiawing_hub/src/mirror.rs
@@ -59,15 +59,15 @@
         request.wait = if leads { LEADER_WAIT_MS } else { 0 };
         let call = async |client: HubClient, context| client.mirror(context, request).await;
         match stub.call(CALL_TIMEOUT, call).await {
-            Ok(changes) => {
+            Ok(update) => {
                 if !is_connected {
                     log::info!(target: "hub", "Connected to the hub on {host}.");
                 }
                 is_connected = true;
-                request.cursor = changes.roster.cursor;
-                request.stamp = changes.stamp;
-                request.seen = changes.seen;
-                apply_changes(&state, changes);
+                request.cursor = update.roster.cursor;
+                request.stamp = update.stamp;
+                request.seen = update.seen;
+                apply_update(&state, update);
             }
             Err(error) => {
                 if is_connected {
@@ -85,21 +85,21 @@
     }
 }
 
-/// Applies the changes that another hub sent.
-fn apply_changes(state: &HubState, changes: MirrorNews) {
+/// Applies an update from another hub.
+fn apply_update(state: &HubState, update: MirrorNews) {
     let now = state.now();
     let mut changed = false;
     let mut roster = state.roster.lock();
-    for listed in changes.roster.listed {
+    for listed in update.roster.listed {
         changed |= roster.take(now, listed);
     }
     drop(roster);
     let mut aggregator = state.usage.lock();
-    for usage in &changes.uses {
+    for usage in &update.uses {
         aggregator.merge(now, usage);
     }
     drop(aggregator);
-    if let Some(ordered) = changes.ordered {
+    if let Some(ordered) = update.ordered {
         state.set_ordered_loads(ordered);
     }
     state.update_unreachable();
