--- a/crates/sequoiawing_policy/src/dispatch/dispatcher.rs
+++ b/crates/sequoiawing_policy/src/dispatch/dispatcher.rs
@@ -2,9 +2,9 @@
     AffinityChoice, ChooseUpstream, DispatchAction, DispatchEvent, DispatchSettings, FairTokens,
     Refusal, ShareService, Work,
     dispatch::{
-        asks::Asks,
-        seats::{SeatKey, Seats},
-        waiting::Waiting,
+        demands::Asks,
+        queue::Waiting,
+        upstreams::{SeatKey, Seats},
     },
 };
 use sequoiawing_fleet::{Demand, OrderState, UpstreamKind};
--- a/crates/sequoiawing_policy/src/dispatch/mod.rs
+++ b/crates/sequoiawing_policy/src/dispatch/mod.rs
@@ -1,11 +1,11 @@
-mod asks;
+mod demands;
 mod dispatcher;
 mod event;
 mod prefixes;
-mod seat;
-mod seats;
+mod queue;
 mod settings;
-mod waiting;
+mod upstream;
+mod upstreams;
 
 pub use dispatcher::Dispatcher;
 pub use event::{DispatchAction, DispatchEvent};
--- a/crates/sequoiawing_policy/src/dispatch/seats.rs
+++ b/crates/sequoiawing_policy/src/dispatch/upstreams.rs
@@ -1,6 +1,6 @@
 use crate::{
     Candidate, Checkpoint, ChooseUpstream, Work,
-    dispatch::seat::{Seat, average},
+    dispatch::upstream::{Seat, average},
 };
 use sequoiawing_fleet::{UpstreamKind, UpstreamState};
 use sequoiawing_types::{Name, Time};
--- a/crates/sequoiawing_policy/src/lib.rs
+++ b/crates/sequoiawing_policy/src/lib.rs
@@ -6,14 +6,15 @@
 //! which models are loaded where. See [docs/design](../../../docs/design).
 
 mod choice;
+mod discipline;
 mod dispatch;
 mod keep_alive;
 mod place;
+mod request;
 pub mod serving;
-mod share;
-mod work;
 
 pub use choice::{AffinityChoice, Candidate, ChooseUpstream, LeastLoad};
+pub use discipline::{FairTokens, FirstCome, MAX_PRIORITY, ShareService};
 pub use dispatch::{DispatchAction, DispatchEvent, DispatchSettings, Dispatcher};
 pub use keep_alive::{FixedKeepAlive, IdleSettings, KeepAlive, LearnedKeepAlive, Wake};
 pub use place::{
@@ -22,8 +23,7 @@
     PlaceEvent, PlacePolicies, PlaceSettings, Placer, RankVictims, ReplicaDemand, SequenceLoads,
     Spot, StoreUse, TokenDemand, Victim,
 };
-pub use share::{FairTokens, FirstCome, MAX_PRIORITY, ShareService};
-pub use work::{Refusal, Work};
+pub use request::{Refusal, Work};
 
 /// The types that users of the decisions import most.
 pub mod prelude {
--- a/crates/sequoiawing_policy/src/serving/loader/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/mod.rs
@@ -1,14 +1,14 @@
 //! Which engine loads which model.
 
-mod census;
 mod demand;
 mod engine;
+mod inventory;
 mod victims;
 
 use super::{EngineReply, EngineReport};
-use census::Census;
 use demand::{Demands, Noted};
 use engine::{Engine, Job, Phase};
+use inventory::Census;
 use sequoiawing_catalog::{Catalog, CatalogIndex, CatalogPool, ModelSpec};
 use sequoiawing_fleet::{OrderKind, UpstreamState};
 use sequoiawing_types::{Name, Time};
--- a/crates/sequoiawing_policy/src/serving/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/mod.rs
@@ -6,19 +6,19 @@
 mod balancer;
 mod engine;
 mod handover;
-mod hubs;
+mod hub_selector;
 mod loader;
-mod parts;
-mod rate;
-mod retries;
+mod prefix_cache;
+mod retry_window;
+mod shared_bucket;
 mod upstream;
 
 pub use balancer::{Assigned, Balancer, Ended, Pick, ServingWork, UpstreamKey};
 pub use engine::{EngineReply, EngineReport};
 pub use handover::handover_wait;
-pub use hubs::{HubChoice, HubFact, HubRole};
+pub use hub_selector::{HubChoice, HubFact, HubRole};
 pub use loader::{LoadPlan, LoaderAction, LoaderEvent, LoaderSettings, ModelLoader};
-pub use parts::{PartMemory, PromptPart};
-pub use rate::{RateView, SharedRate};
-pub use retries::{RetryLimits, RetryWindow};
+pub use prefix_cache::{PartMemory, PromptPart};
+pub use retry_window::{RetryLimits, RetryWindow};
+pub use shared_bucket::{RateView, SharedRate};
 pub use upstream::ReportedLoad;
