--- a/crates/sequoiawing_gateway/src/attempt.rs
+++ b/crates/sequoiawing_gateway/src/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::{Request, Response, Uri, http::response::Parts};
 use sequoiawing_catalog::Repeat;
 use sequoiawing_http::{Body, ClientBody, ClientError, empty, from_bytes};
-use sequoiawing_policy::serving::Ended;
+use sequoiawing_policy::serving::AttemptOutcome;
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
 
@@ -51,16 +51,16 @@
     let (ended, result) = match timeout(patience.unwrap_or(left), Box::pin(answering)).await {
         None if patience.is_some() => {
             let cause = "the upstream is silent".to_owned();
-            (Ended::Missed, Err(Failed::MayHaveRun(cause)))
+            (AttemptOutcome::Unreachable, Err(Failed::MayHaveRun(cause)))
         }
-        None => (Ended::Failed, Err(Failed::TimedOut)),
+        None => (AttemptOutcome::Failed, Err(Failed::TimedOut)),
         Some(Ok(Head::Stream(parts, body))) => return Ok(Answered::Stream(parts, body, slot)),
         Some(Ok(Head::Whole(parts, bytes))) => {
             let is_failure = parts.status.is_server_error();
             let ended = if is_failure {
-                Ended::Failed
+                AttemptOutcome::Failed
             } else {
-                Ended::Well
+                AttemptOutcome::Succeeded
             };
             (ended, Ok(Answered::Whole(parts, bytes)))
         }
@@ -71,13 +71,13 @@
 }
 
 impl Failed {
-    fn ended(&self) -> Ended {
+    fn ended(&self) -> AttemptOutcome {
         match self {
-            Self::NotRun(Judged::Full) => Ended::Full,
-            Self::NotRun(Judged::Lacking) => Ended::Lacking,
-            Self::TimedOut => Ended::Failed,
-            Self::MayHaveRun(_) => Ended::Broken,
-            Self::NotSent(_) | Self::NotRun(_) => Ended::Missed,
+            Self::NotRun(Judged::Full) => AttemptOutcome::Full,
+            Self::NotRun(Judged::Lacking) => AttemptOutcome::ModelMissing,
+            Self::TimedOut => AttemptOutcome::Failed,
+            Self::MayHaveRun(_) => AttemptOutcome::Aborted,
+            Self::NotSent(_) | Self::NotRun(_) => AttemptOutcome::Unreachable,
         }
     }
 }
--- a/crates/sequoiawing_gateway/src/exchange.rs
+++ b/crates/sequoiawing_gateway/src/exchange.rs
@@ -2,7 +2,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, Uri, body::Incoming, header::HOST};
 use sequoiawing_catalog::{CatalogIndex, CatalogRoute, Client};
-use sequoiawing_policy::serving::ServingWork;
+use sequoiawing_policy::serving::BalancerRequest;
 use sequoiawing_types::{Name, Time};
 use std::{sync::Arc, time::Duration};
 
@@ -98,8 +98,8 @@
         std::mem::replace(self, named)
     }
 
-    pub(crate) fn work(&self) -> ServingWork {
-        ServingWork {
+    pub(crate) fn work(&self) -> BalancerRequest {
+        BalancerRequest {
             pool: self.pool.clone(),
             model: self.call.model.clone(),
             adapter: self.call.adapter.clone(),
--- a/crates/sequoiawing_gateway/src/filters/forward.rs
+++ b/crates/sequoiawing_gateway/src/filters/forward.rs
@@ -8,7 +8,7 @@
 use hyper::Response;
 use sequoiawing_catalog::Repeat;
 use sequoiawing_http::Body;
-use sequoiawing_policy::serving::ServingWork;
+use sequoiawing_policy::serving::BalancerRequest;
 use sequoiawing_router::{Answer, Code, Filter, Next, Refused};
 use sequoiawing_types::Ran;
 use std::{sync::Arc, time::Duration};
@@ -33,7 +33,7 @@
 
 /// What became of a request so far.
 struct Progress {
-    work: ServingWork,
+    work: BalancerRequest,
     /// The upstreams that it was sent to.
     sent: u32,
     /// The upstreams that could not be reached.
@@ -66,7 +66,7 @@
                 route = exchange.route.name.as_str(), version = exchange.index.version(),
                 model = exchange.model(), customer = exchange.customer(),
                 upstream = upstream.as_str(), load = slot.assigned.load,
-                missing = slot.assigned.missing, attempt = progress.sent + 1,
+                missing = slot.assigned.uncached, attempt = progress.sent + 1,
                 waited_ms = exchange.millis_since_arrival(self.state.now());
                 "A request is sent."
             );
--- a/crates/sequoiawing_gateway/src/filters/limit.rs
+++ b/crates/sequoiawing_gateway/src/filters/limit.rs
@@ -28,7 +28,7 @@
                     target: "gateway", request = exchange.call.id.as_str(),
                     customer = customer.name.as_str(), units = units, rate = customer.rate,
                     burst = customer.burst, used_here = self.state.used_by(&customer.name),
-                    hosts = view.hosts, missing = view.missing, cut_off = view.is_cut_off;
+                    hosts = view.hosts, missing = view.missing, cut_off = view.is_isolated;
                     "A request is beyond its customer's rate."
                 );
                 let problem = "the customer's rate and burst are used up";
--- a/crates/sequoiawing_gateway/src/follow.rs
+++ b/crates/sequoiawing_gateway/src/follow.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use sequoiawing_fleet::Cursor;
 use sequoiawing_link::{GatewayReport, HubClient, HubFacts, HubNews, Secret, Stub};
-use sequoiawing_policy::serving::{HubFact, HubRole};
+use sequoiawing_policy::serving::{HubRole, HubStatus};
 use sequoiawing_runtime::{Shutdown, Task, sleep, spawn};
 use std::{
     collections::HashMap,
@@ -143,7 +143,7 @@
     async fn tell_urgent(&self) -> bool {
         loop {
             self.state.urgent.listen().await;
-            let pause = self.state.hubs.lock().pause();
+            let pause = self.state.hubs.lock().report_interval();
             sleep(pause).await;
             self.tell(Duration::ZERO, true).await;
         }
@@ -194,7 +194,7 @@
 
     /// Takes in what the hub is and which others there are.
     fn learn(&self, facts: HubFacts) {
-        let fact = HubFact {
+        let fact = HubStatus {
             centre: facts.centre,
             leads: facts.leads,
             age: Duration::from_millis(facts.age),
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -11,7 +11,7 @@
 use hyper::{Response, http::response::Parts};
 use sequoiawing_catalog::Repeat;
 use sequoiawing_http::{Body, BodyError, ClientBody, Events, from_stream, remove_hop_headers};
-use sequoiawing_policy::serving::{Ended, ServingWork};
+use sequoiawing_policy::serving::{AttemptOutcome, BalancerRequest};
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
 struct Relay {
     state: Arc<GatewayState>,
     exchange: Arc<GatewayExchange>,
-    work: ServingWork,
+    work: BalancerRequest,
     /// The upstreams that the request was sent to.
     sent: u32,
     source: Option<(ClientBody, Slot)>,
@@ -48,7 +48,7 @@
 pub(crate) fn relay(
     state: Arc<GatewayState>,
     exchange: GatewayExchange,
-    work: ServingWork,
+    work: BalancerRequest,
     sent: u32,
     answer: (Parts, ClientBody, Slot),
 ) -> Response<Body> {
@@ -87,7 +87,7 @@
                     self.leave_silent().await;
                     continue;
                 }
-                None => return Some(Err(self.stop(Ended::Failed, "the time is up"))),
+                None => return Some(Err(self.stop(AttemptOutcome::Failed, "the time is up"))),
             };
             match next {
                 Next::Events(bytes) => return Some(Ok(bytes)),
@@ -97,7 +97,7 @@
                 }
                 Next::Broken(cause) => {
                     if !self.resume(&cause).await {
-                        return Some(Err(self.stop(Ended::Broken, &cause)));
+                        return Some(Err(self.stop(AttemptOutcome::Aborted, &cause)));
                     }
                 }
             }
@@ -130,7 +130,7 @@
             return;
         };
         // The former run ends with its connection, before the other begins.
-        self.lose_source(Ended::Missed, "the upstream is silent");
+        self.lose_source(AttemptOutcome::Unreachable, "the upstream is silent");
         self.go_on(slot).await;
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Gives up on the present upstream.
-    fn lose_source(&mut self, ended: Ended, cause: &str) {
+    fn lose_source(&mut self, ended: AttemptOutcome, cause: &str) {
         let Some((_, mut slot)) = self.source.take() else {
             return;
         };
@@ -176,7 +176,7 @@
 
     /// Finds another upstream that goes on behind the last whole event.
     async fn resume(&mut self, cause: &str) -> bool {
-        self.lose_source(Ended::Broken, cause);
+        self.lose_source(AttemptOutcome::Aborted, cause);
         let route = &self.exchange.route;
         if route.repeat != Repeat::Resumable {
             return false;
@@ -228,7 +228,7 @@
         false
     }
 
-    fn stop(&mut self, ended: Ended, cause: &str) -> BodyError {
+    fn stop(&mut self, ended: AttemptOutcome, cause: &str) -> BodyError {
         if let Some((_, slot)) = self.source.take() {
             slot.end(ended);
         }
@@ -239,7 +239,7 @@
 
     fn finish(&mut self, cause: &str) {
         if let Some((_, slot)) = self.source.take() {
-            slot.end(Ended::Well);
+            slot.end(AttemptOutcome::Succeeded);
         }
         self.is_over = true;
         self.log("whole", cause);
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -7,8 +7,8 @@
 use sequoiawing_http::Client as HttpClient;
 use sequoiawing_link::{DemandBatch, HubNews, ModelDemand, OrderedLoads, PlannedLoad};
 use sequoiawing_policy::serving::{
-    Assigned, Balancer, Ended, HubChoice, HubFact, HubRole, Pick, RateView, ReportedLoad,
-    RetryWindow, ServingWork, SharedRate,
+    Assignment, AttemptOutcome, Balancer, BalancerRequest, HubRole, HubSelector, HubStatus,
+    PeerView, PickResult, ReportedLoad, RetryWindow, SharedTokenBucket,
 };
 use sequoiawing_runtime::Clock;
 use sequoiawing_telemetry::Meters;
@@ -116,11 +116,11 @@
     index: ArcSwap<CatalogIndex>,
     roster: Mutex<Roster>,
     balancer: Mutex<Balancer>,
-    rates: Mutex<HashMap<Name, SharedRate>>,
+    rates: Mutex<HashMap<Name, SharedTokenBucket>>,
     retries: Mutex<HashMap<Name, RetryWindow>>,
     demand: Mutex<Demanded>,
     others: Mutex<Others>,
-    pub(crate) hubs: Mutex<HubChoice>,
+    pub(crate) hubs: Mutex<HubSelector>,
     /// Notified when another hub may have to be followed.
     pub(crate) rechosen: Event,
     /// Whether shutdown has begun.
@@ -135,7 +135,7 @@
 impl GatewayState {
     pub(crate) fn new(settings: GatewaySettings, dialect: Arc<dyn Dialect>) -> Self {
         let idle = Duration::from_millis(settings.upstream_idle);
-        let mut hubs = HubChoice::new(settings.centre.clone(), rand::random());
+        let mut hubs = HubSelector::new(settings.centre.clone(), rand::random());
         for hub in &settings.hubs {
             hubs.add(Time::ZERO, *hub, true);
         }
@@ -180,14 +180,14 @@
     }
 
     /// Returns how many hosts share the limits.
-    fn view(&self, now: Time) -> RateView {
+    fn view(&self, now: Time) -> PeerView {
         let others = self.others.lock();
         let heard = others.hubs.values().map(|h| h.heard).max();
         let heard = heard.unwrap_or(Time::ZERO);
-        RateView {
+        PeerView {
             hosts: others.gateways,
             missing: others.missing,
-            is_cut_off: now.since(heard) > CUT_OFF_AFTER,
+            is_isolated: now.since(heard) > CUT_OFF_AFTER,
         }
     }
 
@@ -197,7 +197,7 @@
     ///
     /// Returns the time after which asking again may help, and what is known of
     /// the other hosts.
-    pub(crate) fn charge(&self, customer: &Client, units: u64) -> Result<(), (Duration, RateView)> {
+    pub(crate) fn charge(&self, customer: &Client, units: u64) -> Result<(), (Duration, PeerView)> {
         if !customer.is_limited() {
             return Ok(());
         }
@@ -206,7 +206,7 @@
         let mut rates = self.rates.lock();
         let rate = rates
             .entry(customer.name.clone())
-            .or_insert_with(|| SharedRate::new(now, customer.rate, customer.burst));
+            .or_insert_with(|| SharedTokenBucket::new(now, customer.rate, customer.burst));
         let admitted = rate.admit(now, units, view);
         drop(rates);
         if admitted.is_err() {
@@ -218,13 +218,13 @@
     /// Returns what a customer used here.
     pub(crate) fn used_by(&self, customer: &Name) -> u64 {
         let rates = self.rates.lock();
-        rates.get(customer).map_or(0, SharedRate::used)
+        rates.get(customer).map_or(0, SharedTokenBucket::used)
     }
 
     /// Gives back what a request was charged that did not run.
     pub(crate) fn give_back(&self, customer: &Client, units: u64) {
         if let Some(rate) = self.rates.lock().get_mut(&customer.name) {
-            rate.give_back(units);
+            rate.refund(units);
         }
     }
 
@@ -233,7 +233,7 @@
         let (now, limits) = (self.now(), self.settings.retries());
         let mut retries = self.retries.lock();
         let window = retries.entry(pool.clone()).or_default();
-        window.note_request(now, &limits);
+        window.record_request(now, &limits);
     }
 
     /// Counts a repeat, if the limits have room for it.
@@ -242,11 +242,11 @@
         let hosts = self.others.lock().gateways;
         let mut retries = self.retries.lock();
         let window = retries.entry(pool.clone()).or_default();
-        window.take(now, &limits, hosts)
+        window.try_retry(now, &limits, hosts)
     }
 
     /// Counts what became of a request for a model.
-    pub(crate) fn note_demand(&self, work: &ServingWork, noted: Noted) {
+    pub(crate) fn note_demand(&self, work: &BalancerRequest, noted: Noted) {
         let Some(model) = &work.model else {
             return;
         };
@@ -304,8 +304,8 @@
     pub(crate) fn lose_hub(&self, hub: SocketAddr) -> bool {
         let now = self.now();
         let mut hubs = self.hubs.lock();
-        hubs.fail(now, hub);
-        let is_forgotten = hubs.forget(now, hub);
+        hubs.record_failure(now, hub);
+        let is_forgotten = hubs.remove_silent(now, hub);
         let has_changed = hubs.has_changed(now);
         drop(hubs);
         if has_changed {
@@ -315,13 +315,13 @@
     }
 
     /// Takes in what a hub is, and the other hubs that it names.
-    pub(crate) fn hear_hub(&self, hub: SocketAddr, fact: HubFact, others: &[IpAddr]) {
+    pub(crate) fn hear_hub(&self, hub: SocketAddr, fact: HubStatus, others: &[IpAddr]) {
         let now = self.now();
         let mut hubs = self.hubs.lock();
         for host in others {
             hubs.add(now, SocketAddr::new(*host, hub.port()), false);
         }
-        hubs.hear(now, hub, fact);
+        hubs.record_answer(now, hub, fact);
         let has_changed = hubs.has_changed(now);
         drop(hubs);
         if has_changed {
@@ -332,7 +332,7 @@
     /// Returns how long it takes, about, until a missed model shows among the
     /// loads.
     pub(crate) fn news_time(&self) -> Duration {
-        NEWS_TIME + self.hubs.lock().pause() * NEWS_REPORTS
+        NEWS_TIME + self.hubs.lock().report_interval() * NEWS_REPORTS
     }
 
     /// Returns how long to wait before a hub is spoken to again.
@@ -340,9 +340,9 @@
         let now = self.now();
         let hubs = self.hubs.lock();
         if hubs.role(now, hub) == HubRole::Probed {
-            hubs.probe_pause(now, hub)
+            hubs.probe_interval(now, hub)
         } else {
-            hubs.pause()
+            hubs.report_interval()
         }
     }
 
@@ -354,7 +354,7 @@
     }
 
     /// Chooses an upstream for a request.
-    pub(crate) fn pick(&self, work: &ServingWork) -> Pick {
+    pub(crate) fn pick(&self, work: &BalancerRequest) -> PickResult {
         self.balancer.lock().pick(self.now(), work)
     }
 
@@ -368,17 +368,17 @@
         self.balancer.lock().reached(self.now())
     }
 
-    pub(crate) fn report(&self, assigned: &Assigned, load: ReportedLoad) {
+    pub(crate) fn report(&self, assigned: &Assignment, load: ReportedLoad) {
         let mut balancer = self.balancer.lock();
         balancer.report(self.now(), assigned.key, load);
     }
 
-    pub(crate) fn end(&self, assigned: &Assigned, ended: Ended) {
+    pub(crate) fn end(&self, assigned: &Assignment, ended: AttemptOutcome) {
         self.balancer.lock().end(self.now(), assigned.key, ended);
-        if matches!(ended, Ended::Missed | Ended::Broken) {
+        if matches!(ended, AttemptOutcome::Unreachable | AttemptOutcome::Aborted) {
             self.client.forget(assigned.address);
         }
-        if ended == Ended::Missed {
+        if ended == AttemptOutcome::Unreachable {
             self.urgent.notify(usize::MAX);
         }
         self.changed.notify(usize::MAX);
@@ -475,9 +475,9 @@
         for limits in customers.filter(|c| c.is_limited()) {
             let rate = rates
                 .entry(limits.name.clone())
-                .or_insert_with(|| SharedRate::new(now, limits.rate, limits.burst));
+                .or_insert_with(|| SharedTokenBucket::new(now, limits.rate, limits.burst));
             let total = of(&used, &limits.name);
-            rate.hear(now, total, of(&own, &limits.name), is_new, view);
+            rate.apply_update(now, total, of(&own, &limits.name), is_new, view);
         }
     }
 
@@ -496,7 +496,7 @@
         );
         for pool in &catalog.pools {
             let kept = pool.engine.as_ref().map_or(0, |e| e.tokens);
-            balancer.set_kept(&pool.name, kept);
+            balancer.set_cache_tokens(&pool.name, kept);
         }
         self.index.store(Arc::new(CatalogIndex::new(catalog)));
         drop(balancer);
--- a/crates/sequoiawing_gateway/src/waiting.rs
+++ b/crates/sequoiawing_gateway/src/waiting.rs
@@ -2,7 +2,9 @@
 
 use crate::{GatewayExchange, GatewayState, state::Noted};
 use futures_lite::FutureExt;
-use sequoiawing_policy::serving::{Assigned, Ended, Pick, ReportedLoad, ServingWork};
+use sequoiawing_policy::serving::{
+    Assignment, AttemptOutcome, BalancerRequest, PickResult, ReportedLoad,
+};
 use sequoiawing_router::{Code, Refused};
 use sequoiawing_runtime::sleep;
 use sequoiawing_types::{Name, Time};
@@ -35,8 +37,8 @@
 /// A place at an upstream, given back when it is dropped.
 pub(crate) struct Slot {
     state: Arc<GatewayState>,
-    pub(crate) assigned: Assigned,
-    ended: Ended,
+    pub(crate) assigned: Assignment,
+    ended: AttemptOutcome,
 }
 
 impl Slot {
@@ -51,12 +53,12 @@
     }
 
     /// Gives the place back, and says how the request ended.
-    pub(crate) fn end(mut self, ended: Ended) {
+    pub(crate) fn end(mut self, ended: AttemptOutcome) {
         self.ended = ended;
     }
 
     /// Says how the request ended when the place is given back.
-    pub(crate) fn note(&mut self, ended: Ended) {
+    pub(crate) fn note(&mut self, ended: AttemptOutcome) {
         self.ended = ended;
     }
 }
@@ -86,35 +88,35 @@
     }
 
     /// Returns a place at an upstream if one is free now.
-    pub(crate) fn try_once(&self, work: &ServingWork) -> Option<Slot> {
+    pub(crate) fn try_once(&self, work: &BalancerRequest) -> Option<Slot> {
         match self.state.pick(work) {
-            Pick::Send(assigned) => Some(self.slot(assigned)),
+            PickResult::Assigned(assigned) => Some(self.slot(assigned)),
             _ => None,
         }
     }
 
-    fn slot(&self, assigned: Assigned) -> Slot {
+    fn slot(&self, assigned: Assignment) -> Slot {
         Slot {
             state: self.state.clone(),
             assigned,
-            ended: Ended::Left,
+            ended: AttemptOutcome::Cancelled,
         }
     }
 
     /// Waits for a place at an upstream, as long as that is of use.
-    pub(crate) async fn run(&mut self, work: &ServingWork) -> Result<Slot, Refused> {
+    pub(crate) async fn run(&mut self, work: &BalancerRequest) -> Result<Slot, Refused> {
         loop {
             let changed = self.state.changed.listen();
             let (until, refused) = match self.state.pick(work) {
-                Pick::Send(assigned) => return Ok(self.slot(assigned)),
-                Pick::Full(retry) => {
+                PickResult::Assigned(assigned) => return Ok(self.slot(assigned)),
+                PickResult::Full(retry) => {
                     self.note(work, Noted::Crowded);
                     let problem = "all upstreams that can serve the request are full";
                     let refused = Refused::new(Code::Overloaded, problem).with_retry(retry);
                     (self.room_limit(), refused)
                 }
-                Pick::Absent => self.absent(work),
-                Pick::Empty => {
+                PickResult::NotLoaded => self.absent(work),
+                PickResult::NoUpstream => {
                     let problem = "no upstream of the pool is known";
                     let refused = Refused::new(Code::NoUpstream, problem).with_retry(EMPTY_RETRY);
                     (self.room_limit(), refused)
@@ -136,7 +138,7 @@
     }
 
     /// Tells the hubs once that the request can't be sent.
-    fn note(&mut self, work: &ServingWork, noted: Noted) {
+    fn note(&mut self, work: &BalancerRequest, noted: Noted) {
         if !self.is_noted {
             self.is_noted = true;
             self.state.note_demand(work, noted);
@@ -149,7 +151,7 @@
     }
 
     /// Decides about a request whose model no upstream has.
-    fn absent(&mut self, work: &ServingWork) -> (Time, Refused) {
+    fn absent(&mut self, work: &BalancerRequest) -> (Time, Refused) {
         self.note(work, Noted::Missed);
         let now = self.state.now();
         let wanted = work.adapter.as_ref().or(work.model.as_ref());
--- a/crates/sequoiawing_hub/src/loader.rs
+++ b/crates/sequoiawing_hub/src/loader.rs
@@ -200,7 +200,7 @@
     fn carry_out(&self, actions: Vec<LoaderAction>) {
         for action in actions {
             match action {
-                LoaderAction::Report(name) => self.ask(name),
+                LoaderAction::QueryState(name) => self.ask(name),
                 LoaderAction::Order {
                     engine,
                     kind,
@@ -269,7 +269,7 @@
             );
             let engine = name;
             sender
-                .send(LoaderEvent::Ordered { engine, reply })
+                .send(LoaderEvent::OrderAnswered { engine, reply })
                 .await
                 .ok();
         })
--- a/crates/sequoiawing_policy/src/serving/balancer.rs
+++ b/crates/sequoiawing_policy/src/serving/balancer.rs
@@ -10,111 +10,113 @@
 };
 
 new_key_type! {
-    /// Names an upstream within one balancer.
+    /// Identifies an upstream within one [`Balancer`].
     pub struct UpstreamKey;
 }
 
-/// The prompt tokens whose reading delays a request as much as one more
-/// request at the engine does.
+/// The cost of one more open request at an upstream, in prompt tokens: it
+/// delays a request as much as prefilling this many tokens does.
 const LOAD_TOKENS: f64 = 60.0;
 
-/// The prompt tokens that a host would rather have read than send a request to
-/// an upstream that fails all of them.
+/// The cost of an upstream that fails all requests, in prompt tokens: sending a
+/// request to it is as bad as prefilling this many tokens elsewhere.
 const FAILURE_TOKENS: f64 = 20_000.0;
 
-/// The requests that may wait at an upstream, for each that it runs at once.
-const QUEUE_PART: f64 = 0.5;
+/// The number of requests that may queue at an upstream, per slot.
+const QUEUE_PER_SLOT: f64 = 0.5;
 
-/// When to look again if all upstreams are full.
+/// The delay before the next attempt when all upstreams are full.
 const FULL_RETRY: Duration = Duration::from_millis(100);
 
-/// A request that needs an upstream.
+/// A request to be assigned to an upstream.
 #[derive(Clone, Debug, Default)]
-pub struct ServingWork {
+pub struct BalancerRequest {
     /// The pool.
     pub pool: Name,
-    /// The model; none for plain services.
+    /// The model, or `None` for plain services.
     pub model: Option<Name>,
     /// The adapter, as `model:adapter`.
     pub adapter: Option<Name>,
-    /// The parts of its prompt.
+    /// The parts of the prompt.
     pub parts: Arc<[PromptPart]>,
-    /// Upstreams that it was sent to already.
+    /// The upstreams that the request was already sent to.
     pub tried: Vec<Name>,
 }
 
-/// An upstream that a request was given to.
+/// The upstream that a request was assigned to.
 #[derive(Clone, Debug)]
-pub struct Assigned {
-    /// Names it in [`Balancer::end`].
+pub struct Assignment {
+    /// The key for [`Balancer::end`].
     pub key: UpstreamKey,
-    /// Its name.
+    /// The name of the upstream.
     pub name: Name,
-    /// Where it takes requests.
+    /// The address to which the request is sent.
     pub address: SocketAddr,
-    /// The load that was estimated.
+    /// The estimated number of requests at the upstream before this one.
     pub load: u32,
-    /// The prompt tokens that it is expected to read.
-    pub missing: u64,
+    /// The estimated number of prompt tokens that are not cached at the
+    /// upstream.
+    pub uncached: u64,
 }
 
-/// What became of the search for an upstream.
+/// The result of [`Balancer::pick`].
 #[derive(Clone, Debug)]
-pub enum Pick {
-    /// This one takes it.
-    Send(Assigned),
-    /// All that could take it are full or resting; when to look again.
+pub enum PickResult {
+    /// The request was assigned to this upstream.
+    Assigned(Assignment),
+    /// All suitable upstreams are full or backing off; holds the delay before
+    /// the next attempt.
     Full(Duration),
-    /// None that can be reached has the model or adapter.
-    Absent,
-    /// None is known in the pool.
-    Empty,
+    /// No reachable upstream has loaded the model or adapter.
+    NotLoaded,
+    /// The pool has no known upstream.
+    NoUpstream,
 }
 
-/// How a request ended at an upstream.
+/// The outcome of a request at an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
-    /// Its answer was whole.
-    Well,
-    /// The upstream answered that it failed.
+pub enum AttemptOutcome {
+    /// The response was complete.
+    Succeeded,
+    /// The upstream answered with an error.
     Failed,
-    /// It could not be reached, or sent nothing.
-    Missed,
-    /// It broke off, or sent what is no answer to the request.
-    Broken,
-    /// It did not run the request since it is full.
+    /// The upstream could not be reached or sent no response.
+    Unreachable,
+    /// The upstream closed the connection early or sent an invalid response.
+    Aborted,
+    /// The upstream rejected the request because it is full.
     Full,
-    /// It did not run the request since the model is not there.
-    Lacking,
-    /// The caller left, or the time was up.
-    Left,
+    /// The upstream rejected the request because the model is not loaded.
+    ModelMissing,
+    /// The caller disconnected, or the request timed out.
+    Cancelled,
 }
 
-/// Chooses upstreams for the requests of one host.
+/// Assigns the requests of one host to upstreams.
 #[derive(Debug, Default)]
 pub struct Balancer {
     upstreams: SlotMap<UpstreamKey, Upstream>,
     names: HashMap<Name, UpstreamKey>,
     pools: HashMap<Name, Vec<UpstreamKey>>,
-    /// The tokens that engines of a pool keep.
-    kept: HashMap<Name, u64>,
-    /// Models and adapters by the upstream that loads them, and when they
-    /// should be there.
+    /// The prefix cache capacity of the engines of each pool, in tokens.
+    cache_tokens: HashMap<Name, u64>,
+    /// The models and adapters that each upstream is loading, with their
+    /// expected completion times.
     expected: HashMap<Name, Vec<(Name, Time)>>,
-    /// Models that upstreams were told to give up.
+    /// Pairs of an upstream and a model that it was ordered to unload.
     evicted: HashSet<(Name, Name)>,
 }
 
 impl Balancer {
-    /// Sets how many tokens the engines of a pool keep.
-    pub fn set_kept(&mut self, pool: &Name, tokens: u64) {
-        self.kept.insert(pool.clone(), tokens);
+    /// Sets the prefix cache capacity of the engines of a pool, in tokens.
+    pub fn set_cache_tokens(&mut self, pool: &Name, tokens: u64) {
+        self.cache_tokens.insert(pool.clone(), tokens);
         for key in self.pools.get(pool).into_iter().flatten() {
-            self.upstreams[*key].parts.set_limit(tokens);
+            self.upstreams[*key].prefixes.set_limit(tokens);
         }
     }
 
-    /// Takes in what a roster lists.
+    /// Applies an entry of a roster.
     pub fn update(&mut self, listed: &Listed) {
         let state = &listed.state;
         let known = self.names.get(&state.name).copied();
@@ -126,15 +128,21 @@
         }
         if let Some(key) = known {
             let upstream = &mut self.upstreams[key];
-            let is_same_start = upstream.state.epoch == state.epoch;
-            if is_same_start && upstream.state.pool == state.pool {
+            let is_same_epoch = upstream.state.epoch == state.epoch;
+            if is_same_epoch && upstream.state.pool == state.pool {
                 upstream.state = state.clone();
                 return;
             }
             self.remove(key);
         }
-        let kept = self.kept.get(&state.pool).copied().unwrap_or_default();
-        let key = self.upstreams.insert(Upstream::new(state.clone(), kept));
+        let cache_tokens = self
+            .cache_tokens
+            .get(&state.pool)
+            .copied()
+            .unwrap_or_default();
+        let key = self
+            .upstreams
+            .insert(Upstream::new(state.clone(), cache_tokens));
         self.names.insert(state.name.clone(), key);
         self.pools.entry(state.pool.clone()).or_default().push(key);
     }
@@ -149,15 +157,16 @@
         }
     }
 
-    /// Sets which upstreams have announced nothing for long.
+    /// Sets the upstreams whose announcements have stopped.
     pub fn set_silent(&mut self, silent: &HashSet<Name>) {
         for upstream in self.upstreams.values_mut() {
             upstream.is_silent = silent.contains(&upstream.state.name);
         }
     }
 
-    /// Sets which models and adapters are being loaded by which upstreams, and
-    /// when they should be there; upstreams announce them later.
+    /// Sets which upstreams are loading which models and adapters, and when
+    /// each load is expected to finish. Upstreams announce loaded models only
+    /// later.
     pub fn set_expected<I>(&mut self, loads: I)
     where
         I: IntoIterator<Item = (Name, Name, Time)>,
@@ -169,7 +178,7 @@
         }
     }
 
-    /// Sets which upstreams were told to give up which models.
+    /// Sets which upstreams were ordered to unload which models.
     pub fn set_evicted<I>(&mut self, evicted: I)
     where
         I: IntoIterator<Item = (Name, Name)>,
@@ -177,8 +186,8 @@
         self.evicted = evicted.into_iter().collect();
     }
 
-    /// Reports whether an upstream has what a request needs.
-    fn can_serve(&self, now: Time, state: &UpstreamState, work: &ServingWork) -> bool {
+    /// Returns whether an upstream has loaded what a request needs.
+    fn can_serve(&self, now: Time, state: &UpstreamState, request: &BalancerRequest) -> bool {
         let expected = self.expected.get(&state.name);
         let is_expected = |name: &Name| {
             let mut loads = expected.into_iter().flatten();
@@ -190,13 +199,14 @@
             is_held && (self.evicted.is_empty() || !self.evicted.contains(&place))
         };
         let has_adapter = |adapter: &Name| state.has_adapter(adapter) || is_expected(adapter);
-        work.model.as_ref().is_none_or(has_model) && work.adapter.as_ref().is_none_or(has_adapter)
+        request.model.as_ref().is_none_or(has_model)
+            && request.adapter.as_ref().is_none_or(has_adapter)
     }
 
     /// Returns the upstreams that could not be reached lately.
     pub fn unreachable(&self, now: Time) -> Vec<Name> {
-        let missed = self.upstreams.values().filter(|u| u.is_missed(now));
-        missed.map(|u| u.state.name.clone()).collect()
+        let failed = self.upstreams.values().filter(|u| u.was_unreachable(now));
+        failed.map(|u| u.state.name.clone()).collect()
     }
 
     /// Returns the upstreams that answered lately.
@@ -211,107 +221,110 @@
         Some(&self.upstreams[*key].state)
     }
 
-    /// Chooses an upstream and counts the request there until
-    /// [`Balancer::end`].
-    pub fn pick(&mut self, now: Time, work: &ServingWork) -> Pick {
-        let keys = self.pools.get(&work.pool).map_or(&[][..], Vec::as_slice);
-        let mut is_known = false;
-        let mut is_able = false;
+    /// Assigns a request to the upstream with the least cost and counts it
+    /// there until [`Balancer::end`].
+    pub fn pick(&mut self, now: Time, request: &BalancerRequest) -> PickResult {
+        let keys = self.pools.get(&request.pool).map_or(&[][..], Vec::as_slice);
+        let mut has_upstream = false;
+        let mut has_candidate = false;
         let mut best: Option<(f64, UpstreamKey)> = None;
-        let silent_only = self.is_all_silent(keys);
+        let all_silent = self.are_all_silent(keys);
         for key in keys {
             let upstream = &self.upstreams[*key];
             let state = &upstream.state;
-            if state.leaving || (upstream.is_silent && !silent_only) {
+            if state.leaving || (upstream.is_silent && !all_silent) {
                 continue;
             }
-            is_known = true;
-            if !self.can_serve(now, state, work) || work.tried.contains(&state.name) {
+            has_upstream = true;
+            if !self.can_serve(now, state, request) || request.tried.contains(&state.name) {
                 continue;
             }
-            if upstream.is_unreachable(now) {
+            if upstream.is_backing_off(now) {
                 continue;
             }
-            is_able = true;
-            if now < upstream.resting || is_full(now, upstream) {
+            has_candidate = true;
+            if now < upstream.retry_at || is_full(now, upstream) {
                 continue;
             }
-            let cost = cost(now, upstream, work);
+            let cost = cost(now, upstream, request);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, *key));
             }
         }
         match best {
-            Some((_, key)) => self.assign(now, key, work),
-            None if is_able => Pick::Full(FULL_RETRY),
-            None if is_known => Pick::Absent,
-            None => Pick::Empty,
+            Some((_, key)) => self.assign(now, key, request),
+            None if has_candidate => PickResult::Full(FULL_RETRY),
+            None if has_upstream => PickResult::NotLoaded,
+            None => PickResult::NoUpstream,
         }
     }
 
-    /// Reports whether nobody knows of an upstream that is not silent, as in a
-    /// partition: silence then says nothing.
-    fn is_all_silent(&self, keys: &[UpstreamKey]) -> bool {
+    /// Returns whether all upstreams are silent. This happens in a network
+    /// partition, where silence does not mean that an upstream has failed.
+    fn are_all_silent(&self, keys: &[UpstreamKey]) -> bool {
         keys.iter().all(|key| self.upstreams[*key].is_silent)
     }
 
-    fn assign(&mut self, now: Time, key: UpstreamKey, work: &ServingWork) -> Pick {
+    fn assign(&mut self, now: Time, key: UpstreamKey, request: &BalancerRequest) -> PickResult {
         let upstream = &mut self.upstreams[key];
         let Some(address) = upstream.state.address else {
-            return Pick::Empty;
+            return PickResult::NoUpstream;
         };
-        let assigned = Assigned {
+        let assignment = Assignment {
             key,
             name: upstream.state.name.clone(),
             address,
             load: upstream.load(now),
-            missing: upstream.parts.missing(&work.parts),
+            uncached: upstream.prefixes.uncached(&request.parts),
         };
         upstream.open += 1;
-        upstream.parts.note(&work.parts);
-        Pick::Send(assigned)
+        upstream.prefixes.record(&request.parts);
+        PickResult::Assigned(assignment)
     }
 
-    /// Takes in the load that an answer reported.
+    /// Applies the load reported with an answer.
     pub fn report(&mut self, now: Time, key: UpstreamKey, load: ReportedLoad) {
         if let Some(upstream) = self.upstreams.get_mut(key) {
             upstream.report(now, load);
         }
     }
 
-    /// Notes how a request ended at an upstream.
-    pub fn end(&mut self, now: Time, key: UpstreamKey, ended: Ended) {
+    /// Records the outcome of a request at an upstream.
+    pub fn end(&mut self, now: Time, key: UpstreamKey, outcome: AttemptOutcome) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
         upstream.open = upstream.open.saturating_sub(1);
-        if !matches!(ended, Ended::Missed | Ended::Left) {
-            upstream.reach(now);
+        if !matches!(
+            outcome,
+            AttemptOutcome::Unreachable | AttemptOutcome::Cancelled
+        ) {
+            upstream.record_answer(now);
         }
-        match ended {
-            Ended::Well => upstream.succeed(),
-            Ended::Failed | Ended::Broken => upstream.fail(),
-            Ended::Missed => upstream.miss(now),
-            Ended::Full => upstream.fill(now),
-            Ended::Lacking | Ended::Left => {}
+        match outcome {
+            AttemptOutcome::Succeeded => upstream.record_success(),
+            AttemptOutcome::Failed | AttemptOutcome::Aborted => upstream.record_failure(),
+            AttemptOutcome::Unreachable => upstream.record_unreachable(now),
+            AttemptOutcome::Full => upstream.record_full(now),
+            AttemptOutcome::ModelMissing | AttemptOutcome::Cancelled => {}
         }
     }
 }
 
 fn is_full(now: Time, upstream: &Upstream) -> bool {
     let slots = f64::from(upstream.state.slots);
-    let bound = slots + (slots * QUEUE_PART).max(1.0);
+    let bound = slots + (slots * QUEUE_PER_SLOT).max(1.0);
     slots > 0.0 && f64::from(upstream.load(now)) >= bound
 }
 
-/// Estimates how long a request would wait for its first token, in prompt
-/// tokens that are read meanwhile.
-fn cost(now: Time, upstream: &Upstream, work: &ServingWork) -> f64 {
+/// Estimates the time to first token, as the number of prompt tokens that could
+/// be prefilled meanwhile.
+fn cost(now: Time, upstream: &Upstream, request: &BalancerRequest) -> f64 {
     #[expect(
         clippy::cast_precision_loss,
         reason = "prompts are far below 2^52 tokens"
     )]
-    let missing = upstream.parts.missing(&work.parts) as f64;
+    let uncached = upstream.prefixes.uncached(&request.parts) as f64;
     let load = f64::from(upstream.load(now)) * LOAD_TOKENS;
-    missing + load + upstream.failures() * FAILURE_TOKENS
+    uncached + load + upstream.failure_rate() * FAILURE_TOKENS
 }
--- a/crates/sequoiawing_policy/src/serving/engine.rs
+++ b/crates/sequoiawing_policy/src/serving/engine.rs
@@ -1,33 +1,34 @@
 use sequoiawing_types::Name;
 
-/// How an engine answers an order.
+/// The reply of an engine to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EngineReply {
-    /// It carries the order out.
+    /// The engine has started to execute the order.
     Started,
-    /// What was ordered is already so.
+    /// The engine is already in the ordered state.
     Holds,
-    /// Another order is under way, or there were other orders.
+    /// Another order is running, or the engine has accepted a different number
+    /// of orders than expected.
     Busy,
-    /// It has seen a higher term.
+    /// The engine has seen a higher term.
     Fenced,
-    /// The order can't be carried out.
+    /// The order cannot be executed.
     Rejected,
-    /// Another upstream answers at the address.
+    /// The address now belongs to another upstream.
     Moved,
-    /// There was no answer; the order may still be carried out.
+    /// No reply arrived; the order may still be executed.
     Unknown,
 }
 
-/// What an engine tells of itself when it is asked.
+/// The state that an engine reports on request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineReport {
-    /// Whether an order is under way.
+    /// Whether an order is running.
     pub busy: bool,
-    /// The orders that it has accepted since its start.
+    /// The number of orders accepted since the engine started.
     pub accepted: u64,
-    /// The models that it holds.
+    /// The loaded models.
     pub loaded: Vec<Name>,
-    /// The adapters that it holds or fetches, as `model:adapter`.
+    /// The adapters that are loaded or being fetched, as `model:adapter`.
     pub adapters: Vec<Name>,
 }
--- a/crates/sequoiawing_policy/src/serving/handover.rs
+++ b/crates/sequoiawing_policy/src/serving/handover.rs
@@ -1,11 +1,12 @@
 use std::time::Duration;
 
-/// Returns how long a new leader waits before it gives orders, by how long ago
-/// the other hosts that answer gave their last one, or started.
+/// Returns how long a new leader must wait before it sends orders.
 ///
-/// A host that has just started may have given orders before. One that does not
-/// answer counts for nothing: it is stopped, cut off or suspended, and engines
-/// refuse its orders once they have seen the new leader's term.
+/// `ages` holds, for each other host that answers, the time since it sent its
+/// last order or, if that is more recent, since it started: a host that has just
+/// started may have sent orders before. Hosts that do not answer are left out.
+/// They are stopped, partitioned or suspended, and engines refuse their orders
+/// once they have seen the new leader's term.
 ///
 /// ```
 /// use sequoiawing_policy::serving::handover_wait;
@@ -19,6 +20,6 @@
 where
     I: IntoIterator<Item = Duration>,
 {
-    let youngest = ages.into_iter().min();
-    youngest.map_or(Duration::ZERO, |age| quiet.saturating_sub(age))
+    let latest = ages.into_iter().min();
+    latest.map_or(Duration::ZERO, |age| quiet.saturating_sub(age))
 }
--- a/crates/sequoiawing_policy/src/serving/hub_selector.rs
+++ b/crates/sequoiawing_policy/src/serving/hub_selector.rs
@@ -6,158 +6,162 @@
     time::Duration,
 };
 
-/// The gateways up to which each follows every hub; news then reaches them
-/// without a hop in between.
+/// The largest number of gateways at which each gateway follows every hub, so
+/// that updates reach it without an extra hop.
 const ALL_HUBS_GATEWAYS: u32 = 16;
 
-/// The hubs that a gateway follows when there are more gateways: one can fail
-/// unnoticed by callers.
+/// The number of hubs that a gateway follows in larger deployments. With two,
+/// one can fail without an effect on callers.
 const FOLLOWED_HUBS: usize = 2;
 
-/// The reports that a hub should take in a second; one costs it about half a
-/// millisecond of a core of which it has a third.
-const HUB_REPORTS: f64 = 160.0;
+/// The target rate of reports per hub, in reports per second. A report takes
+/// about 0.5 ms of processor time, and a hub has a third of a core.
+const TARGET_REPORT_RATE: f64 = 160.0;
 
-/// The shortest time between two reports to one hub.
-const LEAST_PAUSE: Duration = Duration::from_millis(25);
+/// The shortest interval between two reports to one hub.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The longest time between two reports to one hub: what customers use must be
-/// known within the slack of their limits.
-const MOST_PAUSE: Duration = Duration::from_millis(400);
+/// The longest interval between two reports to one hub. Longer ones would let
+/// customers exceed the tolerance of their limits before their use is known.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a hub may have been out of touch with the log's majority and still
-/// be as good as another.
-const LINKED_AGE: Duration = Duration::from_millis(1_500);
+/// The time without contact to a quorum of the log after which a hub ranks
+/// behind the others.
+const MAX_QUORUM_AGE: Duration = Duration::from_millis(1_500);
 
-/// How long a hub's last answer speaks for it; several probes.
-const HEARD_LIFE: Duration = Duration::from_secs(8);
+/// How long the last answer of a hub stays valid. Spans several probes.
+const ANSWER_TTL: Duration = Duration::from_secs(8);
 
-/// How often a hub that is not followed is asked what it is.
-const PROBE_PAUSE: Duration = Duration::from_secs(3);
+/// The interval between probes of a hub that is not followed.
+const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How often a hub that did not answer is asked again.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The interval between probes of a hub that did not answer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a hub that is no seed may be silent before it is forgotten.
-const FORGET_AFTER: Duration = Duration::from_mins(1);
+/// The silence after which a hub that is not a seed is removed.
+const REMOVE_AFTER: Duration = Duration::from_mins(1);
 
-/// What a gateway knows of a hub that answered.
+/// The status that a hub last reported to a gateway.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct HubFact {
-    /// Its data centre.
+pub struct HubStatus {
+    /// The data centre of the hub.
     pub centre: Name,
-    /// Whether its controller leads the log.
+    /// Whether the hub's controller is the leader of the log.
     pub leads: bool,
-    /// How long ago its controller was in touch with the log's majority.
+    /// The time since the hub's controller was last in contact with a quorum of
+    /// the log.
     pub age: Duration,
 }
 
-/// What a gateway wants of a hub.
+/// The role that a gateway gives to a hub.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HubRole {
-    /// It is told everything, demand included.
+    /// Receives all reports, including demand.
     Primary,
-    /// It is told what customers use, and its news counts as well.
+    /// Receives the use of customers; its updates are applied as well.
     Followed,
-    /// It is only asked what it is, now and then.
+    /// Is only probed for its status.
     Probed,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct HubState {
     is_seed: bool,
-    since: Time,
-    fact: Option<HubFact>,
-    heard: Option<Time>,
+    added_at: Time,
+    status: Option<HubStatus>,
+    answered: Option<Time>,
     failed: Option<Time>,
 }
 
-impl Known {
+impl HubState {
     fn is_usable(&self, now: Time) -> bool {
-        let is_heard = self.heard.is_some_and(|at| now.since(at) <= HEARD_LIFE);
-        is_heard && self.failed.is_none_or(|at| Some(at) < self.heard)
+        let has_answered = self.answered.is_some_and(|at| now.since(at) <= ANSWER_TTL);
+        has_answered && self.failed.is_none_or(|at| Some(at) < self.answered)
     }
 }
 
-/// Chooses which hubs a gateway follows.
+/// Selects the hubs that a gateway follows.
 ///
-/// Reports cost hubs processor time and links bytes, and with all gateways at
-/// all hubs both grow with the product of the two. In a large deployment each
-/// gateway follows two: the nearest, and another that takes over at once.
+/// Reports cost processor time on hubs and bandwidth. If all gateways followed
+/// all hubs, both would grow with the product of their numbers. In a large
+/// deployment each gateway therefore follows two hubs: the nearest one, and a
+/// standby that takes over immediately.
 #[derive(Clone, Debug)]
-pub struct HubChoice {
+pub struct HubSelector {
     centre: Name,
-    /// Spreads gateways over hubs.
+    /// Distributes gateways over hubs.
     seed: u64,
     gateways: u32,
-    hubs: BTreeMap<SocketAddr, Known>,
-    /// The hubs that were to be followed after the last event.
-    chosen: Vec<SocketAddr>,
+    hubs: BTreeMap<SocketAddr, HubState>,
+    /// The hubs selected after the last event.
+    selected: Vec<SocketAddr>,
 }
 
-impl HubChoice {
-    /// Returns the choice of a gateway in a data centre.
+impl HubSelector {
+    /// Creates a selector for a gateway in the data centre `centre`.
     pub fn new(centre: Name, seed: u64) -> Self {
         Self {
             centre,
             seed,
             gateways: 0,
             hubs: BTreeMap::new(),
-            chosen: Vec::new(),
+            selected: Vec::new(),
         }
     }
 
-    /// Reports whether other hubs are to be followed than after the event
-    /// before; those that were only probed must then be spoken to at once.
+    /// Returns whether the selected hubs have changed since the previous call.
+    /// Newly selected hubs were only probed so far and need a report
+    /// immediately.
     pub fn has_changed(&mut self, now: Time) -> bool {
-        let chosen = self.followed(now);
-        let has_changed = chosen != self.chosen;
-        self.chosen = chosen;
+        let selected = self.selected_hubs(now);
+        let has_changed = selected != self.selected;
+        self.selected = selected;
         has_changed
     }
 
-    /// Adds a hub; seeds are never forgotten.
+    /// Adds a hub. Seeds are never removed.
     pub fn add(&mut self, now: Time, hub: SocketAddr, is_seed: bool) {
-        let known = self.hubs.entry(hub).or_insert_with(|| Known {
+        let state = self.hubs.entry(hub).or_insert_with(|| HubState {
             is_seed,
-            since: now,
-            fact: None,
-            heard: None,
+            added_at: now,
+            status: None,
+            answered: None,
             failed: None,
         });
-        known.is_seed |= is_seed;
+        state.is_seed |= is_seed;
     }
 
-    /// Returns the hubs that are known.
+    /// Returns all known hubs.
     pub fn hubs(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.hubs.keys().copied()
     }
 
-    /// Sets how many gateways there are.
+    /// Sets the number of gateways in the deployment.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = gateways;
     }
 
-    /// Notes that a hub answered.
-    pub fn hear(&mut self, now: Time, hub: SocketAddr, fact: HubFact) {
-        if let Some(known) = self.hubs.get_mut(&hub) {
-            known.fact = Some(fact);
-            known.heard = Some(now);
+    /// Records the answer of a hub.
+    pub fn record_answer(&mut self, now: Time, hub: SocketAddr, status: HubStatus) {
+        if let Some(state) = self.hubs.get_mut(&hub) {
+            state.status = Some(status);
+            state.answered = Some(now);
         }
     }
 
-    /// Notes that a hub did not answer.
-    pub fn fail(&mut self, now: Time, hub: SocketAddr) {
-        if let Some(known) = self.hubs.get_mut(&hub) {
-            known.failed = Some(now);
+    /// Records that a hub did not answer.
+    pub fn record_failure(&mut self, now: Time, hub: SocketAddr) {
+        if let Some(state) = self.hubs.get_mut(&hub) {
+            state.failed = Some(now);
         }
     }
 
-    /// Forgets a hub that was silent for long; reports whether it did.
-    pub fn forget(&mut self, now: Time, hub: SocketAddr) -> bool {
-        let is_old = |known: &Known| {
-            let last = known.heard.unwrap_or(known.since);
-            !known.is_seed && now.since(last) > FORGET_AFTER
+    /// Removes a hub that has been silent too long. Returns whether it was
+    /// removed.
+    pub fn remove_silent(&mut self, now: Time, hub: SocketAddr) -> bool {
+        let is_old = |state: &HubState| {
+            let last = state.answered.unwrap_or(state.added_at);
+            !state.is_seed && now.since(last) > REMOVE_AFTER
         };
         let is_old = self.hubs.get(&hub).is_some_and(is_old);
         if is_old {
@@ -166,9 +170,9 @@
         is_old
     }
 
-    /// Returns what is wanted of a hub.
+    /// Returns the role of a hub.
     pub fn role(&self, now: Time, hub: SocketAddr) -> HubRole {
-        let followed = self.followed(now);
+        let followed = self.selected_hubs(now);
         match followed.iter().position(|h| *h == hub) {
             Some(0) => HubRole::Primary,
             Some(_) => HubRole::Followed,
@@ -177,43 +181,49 @@
     }
 
     /// Returns the hubs to follow, the primary first.
-    fn followed(&self, now: Time) -> Vec<SocketAddr> {
-        let usable = self.hubs.iter().filter(|(_, known)| known.is_usable(now));
-        let mut usable: Vec<(&SocketAddr, &HubFact)> = usable
-            .filter_map(|(hub, known)| Some((hub, known.fact.as_ref()?)))
+    fn selected_hubs(&self, now: Time) -> Vec<SocketAddr> {
+        let usable = self.hubs.iter().filter(|(_, state)| state.is_usable(now));
+        let mut usable: Vec<(&SocketAddr, &HubStatus)> = usable
+            .filter_map(|(hub, state)| Some((hub, state.status.as_ref()?)))
             .collect();
         let follows_all = self.gateways <= ALL_HUBS_GATEWAYS;
-        usable.sort_by_cached_key(|(hub, fact)| {
-            let is_late = fact.age > LINKED_AGE;
-            let is_far = fact.centre != self.centre;
-            let is_second = if follows_all { !fact.leads } else { is_far };
-            (is_late, is_second, is_far, self.rank(**hub))
+        usable.sort_by_cached_key(|(hub, status)| {
+            let is_stale = status.age > MAX_QUORUM_AGE;
+            let is_remote = status.centre != self.centre;
+            let is_less_preferred = if follows_all {
+                !status.leads
+            } else {
+                is_remote
+            };
+            (is_stale, is_less_preferred, is_remote, self.rank(**hub))
         });
         if follows_all {
             return usable.into_iter().map(|(hub, _)| *hub).collect();
         }
-        let Some((first, fact)) = usable.first() else {
+        let Some((first, status)) = usable.first() else {
             return Vec::new();
         };
-        // The others stand in another data centre where there is one.
-        let is_beside = |(_, other): &&(&SocketAddr, &HubFact)| other.centre == fact.centre;
+        // Prefer a standby in another data centre.
+        let is_same_centre =
+            |(_, other): &&(&SocketAddr, &HubStatus)| other.centre == status.centre;
         let rest = &usable[1..];
-        let apart = rest.iter().filter(|h| !is_beside(h));
-        let beside = rest.iter().filter(is_beside);
-        let others = apart.chain(beside).map(|(hub, _)| **hub);
+        let elsewhere = rest.iter().filter(|h| !is_same_centre(h));
+        let nearby = rest.iter().filter(is_same_centre);
+        let others = elsewhere.chain(nearby).map(|(hub, _)| **hub);
         let others = others.take(FOLLOWED_HUBS - 1);
         std::iter::once(**first).chain(others).collect()
     }
 
-    /// Returns a hub's place in this gateway's own order of hubs.
+    /// Returns the rank of a hub for this gateway, from a hash of the seed and
+    /// the address.
     fn rank(&self, hub: SocketAddr) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, hub).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Returns how long to wait between two reports to one hub.
-    pub fn pause(&self) -> Duration {
+    /// Returns the interval between two reports to one hub.
+    pub fn report_interval(&self) -> Duration {
         let hubs = self.hubs.len().max(1);
         let followed = if self.gateways <= ALL_HUBS_GATEWAYS {
             hubs
@@ -222,13 +232,17 @@
         };
         let count = |n| f64::from(u32::try_from(n).unwrap_or(u32::MAX));
         let reporting = f64::from(self.gateways) * count(followed) / count(hubs);
-        let pause = Duration::from_secs_f64(reporting / HUB_REPORTS);
-        pause.clamp(LEAST_PAUSE, MOST_PAUSE)
+        let interval = Duration::from_secs_f64(reporting / TARGET_REPORT_RATE);
+        interval.clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
     }
 
-    /// Returns how long to wait before a hub is asked again what it is.
-    pub fn probe_pause(&self, now: Time, hub: SocketAddr) -> Duration {
+    /// Returns the interval until the next probe of a hub.
+    pub fn probe_interval(&self, now: Time, hub: SocketAddr) -> Duration {
         let is_usable = self.hubs.get(&hub).is_some_and(|k| k.is_usable(now));
-        if is_usable { PROBE_PAUSE } else { RETRY_PAUSE }
+        if is_usable {
+            PROBE_INTERVAL
+        } else {
+            RETRY_INTERVAL
+        }
     }
 }
--- a/crates/sequoiawing_policy/src/serving/loader/demand.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/demand.rs
@@ -1,124 +1,134 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::HashMap, time::Duration};
 
-/// The time over which demand is averaged, in seconds; rare models are asked
-/// for every few seconds.
-const AVERAGED_SECONDS: f64 = 8.0;
+/// The time constant of the long-term request rate, in seconds. Rare models are
+/// requested only every few seconds.
+const LONG_TERM_SECONDS: f64 = 8.0;
 
-/// The time over which a sudden rise shows, in seconds.
-const RECENT_SECONDS: f64 = 1.5;
+/// The time constant of the short-term request rate, in seconds, which follows
+/// a sudden increase.
+const SHORT_TERM_SECONDS: f64 = 1.5;
 
-/// How much of a sudden rise counts, since a few requests at once are none.
-const RECENT_WEIGHT: f64 = 0.7;
+/// The weight of the short-term rate. It is below 1 because a few simultaneous
+/// requests are not an increase.
+const SHORT_TERM_WEIGHT: f64 = 0.7;
 
-/// How long a request that found no model counts as waiting for it, or as
-/// about to come back.
-const MISSED_LIFE: Duration = Duration::from_secs(2);
+/// How long a request that found no replica counts as waiting for the model or
+/// as about to be retried.
+const MISS_TTL: Duration = Duration::from_secs(2);
 
-/// How long a request runs, about.
-const RUN_TIME: Duration = Duration::from_millis(800);
+/// The approximate duration of a request.
+const REQUEST_DURATION: Duration = Duration::from_millis(800);
 
 #[derive(Clone, Debug, Default)]
-struct Rate {
-    /// The requests, each fading with the time since it came.
-    score: f64,
-    /// The same, fading faster.
-    recent: f64,
-    at: Time,
+struct DemandRate {
+    /// The long-term count of requests, with exponential decay.
+    long_term: f64,
+    /// The short-term count of requests, which decays faster.
+    short_term: f64,
+    updated: Time,
     missed: Option<Time>,
-    crowded: Option<Time>,
+    saturated: Option<Time>,
 }
 
-impl Rate {
-    fn fade(&mut self, now: Time) {
-        let age = now.since(self.at).as_secs_f64();
-        self.score *= (-age / AVERAGED_SECONDS).exp();
-        self.recent *= (-age / RECENT_SECONDS).exp();
-        self.at = now;
+impl DemandRate {
+    fn decay(&mut self, now: Time) {
+        let age = now.since(self.updated).as_secs_f64();
+        self.long_term *= (-age / LONG_TERM_SECONDS).exp();
+        self.short_term *= (-age / SHORT_TERM_SECONDS).exp();
+        self.updated = now;
     }
 
-    /// Returns the requests a second: of late, if there were more than usual.
+    /// Returns the requests per second: the larger of the long-term and the
+    /// weighted short-term rate.
     fn per_second(&self, now: Time) -> f64 {
-        let mut faded = self.clone();
-        faded.fade(now);
-        let recent = faded.recent / RECENT_SECONDS * RECENT_WEIGHT;
-        recent.max(faded.score / AVERAGED_SECONDS)
+        let mut decayed = self.clone();
+        decayed.decay(now);
+        let short_term = decayed.short_term / SHORT_TERM_SECONDS * SHORT_TERM_WEIGHT;
+        short_term.max(decayed.long_term / LONG_TERM_SECONDS)
     }
 }
 
-/// What is known of some requests.
+/// A number of requests and whether any of them was not served.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Noted {
+pub(super) struct DemandSample {
     pub(super) asked: u64,
     pub(super) missed: bool,
-    pub(super) crowded: bool,
+    pub(super) saturated: bool,
 }
 
-/// How often models and adapters are asked for.
+/// Tracks the demand for models and adapters.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Demands {
-    models: HashMap<(Name, Name), Rate>,
-    /// When adapters were last missed, by pool, model and adapter.
+pub(super) struct DemandTracker {
+    models: HashMap<(Name, Name), DemandRate>,
+    /// The last time that an adapter was missing, by pool, model and adapter.
     adapters: HashMap<(Name, Name, Name), Time>,
 }
 
-impl Demands {
-    pub(super) fn note(&mut self, now: Time, key: (Name, Name, Option<Name>), noted: Noted) {
+impl DemandTracker {
+    pub(super) fn record(
+        &mut self,
+        now: Time,
+        key: (Name, Name, Option<Name>),
+        sample: DemandSample,
+    ) {
         let (pool, model, adapter) = key;
-        if let Some(adapter) = adapter.filter(|_| noted.missed) {
+        if let Some(adapter) = adapter.filter(|_| sample.missed) {
             let key = (pool.clone(), model.clone(), adapter);
             self.adapters.insert(key, now);
         }
         let rate = self.models.entry((pool, model)).or_default();
-        rate.fade(now);
-        let asked = f64::from(u32::try_from(noted.asked).unwrap_or(u32::MAX));
-        rate.score += asked;
-        rate.recent += asked;
-        if noted.missed {
+        rate.decay(now);
+        let asked = f64::from(u32::try_from(sample.asked).unwrap_or(u32::MAX));
+        rate.long_term += asked;
+        rate.short_term += asked;
+        if sample.missed {
             rate.missed = Some(now);
         }
-        if noted.crowded {
-            rate.crowded = Some(now);
+        if sample.saturated {
+            rate.saturated = Some(now);
         }
     }
 
-    /// Returns the requests a second for a model.
+    /// Returns the requests per second for a model.
     pub(super) fn rate(&self, now: Time, pool: &Name, model: &Name) -> f64 {
         let found = self.models.get(&(pool.clone(), model.clone()));
         found.map_or(0.0, |r| r.per_second(now))
     }
 
-    /// Reports whether a request for a model just found none.
+    /// Returns whether a recent request for a model found no replica.
     pub(super) fn is_missed(&self, now: Time, pool: &Name, model: &Name) -> bool {
         let found = self.models.get(&(pool.clone(), model.clone()));
         let missed = found.and_then(|r| r.missed);
-        missed.is_some_and(|at| now < at + MISSED_LIFE)
+        missed.is_some_and(|at| now < at + MISS_TTL)
     }
 
-    /// Reports whether a request for a model just found all of its engines full.
-    pub(super) fn is_crowded(&self, now: Time, pool: &Name, model: &Name) -> bool {
+    /// Returns whether a recent request for a model found all replicas full.
+    pub(super) fn is_saturated(&self, now: Time, pool: &Name, model: &Name) -> bool {
         let found = self.models.get(&(pool.clone(), model.clone()));
-        let crowded = found.and_then(|r| r.crowded);
-        crowded.is_some_and(|at| now < at + MISSED_LIFE)
+        let saturated = found.and_then(|r| r.saturated);
+        saturated.is_some_and(|at| now < at + MISS_TTL)
     }
 
-    /// Forgets that engines were full, because there is to be another.
-    pub(super) fn clear_crowded(&mut self, pool: &Name, model: &Name) {
+    /// Clears the record of full replicas, because one more replica was
+    /// ordered.
+    pub(super) fn clear_saturated(&mut self, pool: &Name, model: &Name) {
         if let Some(rate) = self.models.get_mut(&(pool.clone(), model.clone())) {
-            rate.crowded = None;
+            rate.saturated = None;
         }
     }
 
-    /// Reports whether a model was asked for so lately that requests run on it.
+    /// Returns whether a model was requested so recently that requests are
+    /// probably still running on it.
     pub(super) fn is_recent(&self, now: Time, pool: &Name, model: &Name) -> bool {
         let found = self.models.get(&(pool.clone(), model.clone()));
-        found.is_some_and(|r| now < r.at + RUN_TIME)
+        found.is_some_and(|r| now < r.updated + REQUEST_DURATION)
     }
 
-    /// Returns the adapters that requests to a pool just missed, with their
-    /// models.
+    /// Returns the adapters of a pool that recent requests found missing, with
+    /// their models.
     pub(super) fn missed_adapters(&mut self, now: Time, pool: &Name) -> Vec<(Name, Name)> {
-        self.adapters.retain(|_, at| now < *at + MISSED_LIFE);
+        self.adapters.retain(|_, at| now < *at + MISS_TTL);
         let missed = self.adapters.keys().filter(|(p, _, _)| p == pool);
         let mut missed: Vec<_> = missed.map(|(_, m, a)| (m.clone(), a.clone())).collect();
         missed.sort();
--- a/crates/sequoiawing_policy/src/serving/loader/engine.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/engine.rs
@@ -8,122 +8,125 @@
     time::Duration,
 };
 
-/// How long after an order to evict the next order is tried: the requests that
-/// run come to their ends meanwhile.
-const EVICTION_PAUSE: Duration = Duration::from_millis(80);
+/// The delay between an order to evict and the next order, in which running
+/// requests can finish.
+const EVICTION_DELAY: Duration = Duration::from_millis(80);
 
-/// How long an order is retried while the engine is busy before its state is
-/// asked for.
-const BUSY_TRIES: u32 = 8;
+/// The number of consecutive busy replies after which the state of the engine
+/// is requested.
+const MAX_BUSY_REPLIES: u32 = 8;
 
-/// How long after an order without an answer the engine is asked for its
+/// The delay between an unanswered order and the request for the engine's
 /// state.
-const DOUBT_PAUSE: Duration = Duration::from_millis(500);
+const UNANSWERED_DELAY: Duration = Duration::from_millis(500);
 
-/// How long an engine that did not answer is left alone.
-const SILENT_PAUSE: Duration = Duration::from_secs(1);
+/// The backoff for an engine that did not answer.
+const SILENT_BACKOFF: Duration = Duration::from_secs(1);
 
-/// How long after an order announcements may be older than it.
-const STALE_LIFE: Duration = Duration::from_millis(1_500);
+/// How long after an order announcements may still show the state before it.
+const STALE_ANNOUNCEMENT_TTL: Duration = Duration::from_millis(1_500);
 
-/// How long after the estimated end of a load the engine is asked, if it has
-/// announced nothing.
-const VERIFY_PAUSE: Duration = Duration::from_millis(400);
+/// The delay after the estimated end of a load before the engine is asked for
+/// its state, if it has not announced the model.
+const VERIFY_DELAY: Duration = Duration::from_millis(400);
 
-/// How long a model stays at least: the requests that waited for it have begun
-/// by then.
-const LEAST_STAY: Duration = Duration::from_millis(700);
+/// The minimum time that a model stays loaded. Requests that waited for it have
+/// started by then.
+const MIN_RESIDENCE: Duration = Duration::from_millis(700);
 
-/// How long an adapter takes to come, about.
-const ADAPTER_TIME: Duration = Duration::from_millis(30);
+/// The approximate duration of an adapter load.
+const ADAPTER_LOAD_DURATION: Duration = Duration::from_millis(30);
 
-/// What a job is about to do.
+/// The phase of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Phase {
-    /// Models are evicted.
+pub(super) enum JobPhase {
+    /// Models are being evicted.
     Evict,
-    /// The load is to be ordered.
+    /// The load is about to be ordered.
     Load,
-    /// The engine loads.
+    /// The engine is loading the model.
     Loading {
-        /// When it should be done.
+        /// The estimated completion time.
         ready: Time,
     },
 }
 
-/// A load with what has to go first.
+/// A load and the evictions that precede it.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) model: Name,
     pub(super) source: Checkpoint,
-    pub(super) phase: Phase,
+    pub(super) phase: JobPhase,
     memory: u64,
-    takes: Duration,
+    duration: Duration,
     evict: VecDeque<Name>,
 }
 
 impl Job {
-    /// Reports whether the engine carries the load out.
+    /// Returns whether the engine is executing the load.
     fn is_loading(&self) -> bool {
-        matches!(self.phase, Phase::Loading { .. })
+        matches!(self.phase, JobPhase::Loading { .. })
     }
 
-    /// Returns the memory that the load needs now, before it is ordered.
-    pub(super) fn needs(&self) -> Option<u64> {
-        (self.phase == Phase::Load).then_some(self.memory)
+    /// Returns the memory that the load needs in megabytes, if it is about to
+    /// be ordered.
+    pub(super) fn pending_memory(&self) -> Option<u64> {
+        (self.phase == JobPhase::Load).then_some(self.memory)
     }
 
     pub(super) fn new(model: &ModelSpec, source: Checkpoint, evict: Vec<Name>) -> Self {
         let phase = if evict.is_empty() {
-            Phase::Load
+            JobPhase::Load
         } else {
-            Phase::Evict
+            JobPhase::Evict
         };
         Self {
             model: model.name.clone(),
             source,
             phase,
             memory: model.weights,
-            takes: load_time(model, source),
+            duration: load_time(model, source),
             evict: evict.into(),
         }
     }
 }
 
-/// An order that waits for its answer.
+/// An order without a reply so far.
 #[derive(Clone, Debug, Eq, PartialEq)]
-enum Sent {
+enum PendingOrder {
     Evict(Name),
     Load,
-    Adapter(Name),
-    DropAdapter(Name),
+    LoadAdapter(Name),
+    UnloadAdapter(Name),
 }
 
-/// What the loader knows of one engine.
+/// The state that the loader keeps for one engine.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) state: Arc<UpstreamState>,
     pub(super) job: Option<Job>,
-    /// Whether most gateways can't reach it.
+    /// Whether most gateways cannot reach the engine.
     pub(super) is_unreachable: bool,
-    /// Models that it was told to give up, until announcements show it.
+    /// Models that the engine was ordered to evict but may still announce.
     pub(super) evicted: BTreeMap<Name, Time>,
-    /// The adapters that it holds, with the time of their last order.
+    /// The loaded adapters, with the time of their last order.
     pub(super) adapters: BTreeMap<Name, Time>,
-    /// An adapter that was just ordered, and when it should be there.
+    /// The adapter ordered last and its estimated completion time.
     pub(super) fetched: Option<(Name, Time)>,
-    /// The models that it holds, as far as orders tell.
+    /// The loaded models according to orders and reports, with the time of
+    /// loading.
     held: BTreeMap<Name, Time>,
     accepted: Option<u64>,
-    sent: Option<Sent>,
-    is_asked: bool,
-    resting: Time,
-    /// Until when announcements may be older than the last order.
-    stale: Time,
-    wanted: VecDeque<Name>,
+    pending: Option<PendingOrder>,
+    awaiting_report: bool,
+    backoff_until: Time,
+    /// The time until which announcements may show the state before the last
+    /// order.
+    stale_until: Time,
+    queued_adapters: VecDeque<Name>,
     adapter_slots: u32,
-    /// The orders in a row that found it busy.
-    tries: u32,
+    /// The number of consecutive busy replies.
+    busy_replies: u32,
 }
 
 impl Engine {
@@ -139,17 +142,17 @@
             evicted: BTreeMap::new(),
             fetched: None,
             accepted: None,
-            sent: None,
-            is_asked: false,
-            resting: Time::ZERO,
-            stale: Time::ZERO,
-            wanted: VecDeque::new(),
+            pending: None,
+            awaiting_report: false,
+            backoff_until: Time::ZERO,
+            stale_until: Time::ZERO,
+            queued_adapters: VecDeque::new(),
             adapter_slots: 0,
-            tries: 0,
+            busy_replies: 0,
         }
     }
 
-    /// Takes in an announcement.
+    /// Applies an announcement.
     pub(super) fn announce(&mut self, now: Time, state: Arc<UpstreamState>) {
         self.state = state;
         if let Some(job) = &self.job
@@ -160,21 +163,21 @@
         }
         self.evicted
             .retain(|model, _| self.state.loaded.contains(model));
-        if self.job.is_none() && now >= self.stale {
-            self.trust(now);
+        if self.job.is_none() && now >= self.stale_until {
+            self.merge_announcement(now);
         }
     }
 
-    /// Adds what the engine announces to what it holds.
+    /// Adds the announced models and adapters to the known state.
     ///
-    /// An announcement that came through another hub may be older than the
-    /// engine's last report, so that it frees no memory: what it does not list
-    /// is asked for before the next order.
-    fn trust(&mut self, now: Time) {
+    /// An announcement that arrives through another hub may be older than the
+    /// engine's last report, so it never frees memory. If it lacks a known
+    /// model, the engine's state is requested before the next order.
+    fn merge_announcement(&mut self, now: Time) {
         self.evicted.clear();
         let announced = &self.state.loaded;
-        let is_doubtful = self.held.keys().any(|m| !announced.contains(m));
-        if is_doubtful {
+        let is_missing_model = self.held.keys().any(|m| !announced.contains(m));
+        if is_missing_model {
             self.accepted = None;
         }
         for model in announced {
@@ -188,32 +191,31 @@
     fn finish(&mut self, now: Time) {
         if let Some(job) = self.job.take() {
             self.held.insert(job.model, now);
-            self.stale = now + STALE_LIFE;
+            self.stale_until = now + STALE_ANNOUNCEMENT_TTL;
         }
     }
 
-    pub(super) fn rest(&mut self, until: Time) {
+    pub(super) fn back_off(&mut self, until: Time) {
         self.job = None;
-        self.resting = self.resting.max(until);
+        self.backoff_until = self.backoff_until.max(until);
     }
 
-    /// Reports whether it may be given a load.
+    /// Returns whether the engine can take a load.
     pub(super) fn is_free(&self, now: Time) -> bool {
-        self.job.is_none() && self.is_serving() && now >= self.resting
+        self.job.is_none() && self.is_serving() && now >= self.backoff_until
     }
 
-    /// Reports whether what it holds serves requests.
+    /// Returns whether the models of the engine can serve requests.
     pub(super) fn is_serving(&self) -> bool {
         !self.state.leaving && !self.is_unreachable
     }
 
-    /// Returns what speaks against an engine that was busy just now, in
-    /// seconds.
-    pub(super) fn resting_cost(&self, now: Time) -> f64 {
-        if now < self.stale { 0.1 } else { 0.0 }
+    /// Returns the cost of choosing an engine with a recent order, in seconds.
+    pub(super) fn recent_order_cost(&self, now: Time) -> f64 {
+        if now < self.stale_until { 0.1 } else { 0.0 }
     }
 
-    /// Reports whether it loads a model, or is about to.
+    /// Returns whether the current job loads a model.
     pub(super) fn loads(&self, model: &Name) -> bool {
         self.job.as_ref().is_some_and(|j| j.model == *model)
     }
@@ -222,18 +224,18 @@
         self.held.contains_key(model)
     }
 
-    /// Reports whether it holds a model, or will when its job is done.
+    /// Returns whether the engine will hold a model when its job is done.
     pub(super) fn will_hold(&self, model: &Name) -> bool {
         let evicts = self.job.as_ref().is_some_and(|j| j.evict.contains(model));
         self.loads(model) || (self.holds(model) && !evicts)
     }
 
-    /// Returns the models that it holds, as far as orders tell.
+    /// Returns the loaded models according to orders and reports.
     pub(super) fn held(&self) -> impl Iterator<Item = &Name> {
         self.held.keys()
     }
 
-    /// Returns the models for which memory must be counted.
+    /// Returns the models whose memory must be counted.
     pub(super) fn held_or_announced(&self) -> impl Iterator<Item = &Name> {
         let announced = self.state.loaded.iter();
         let announced = announced.filter(|m| !self.held.contains_key(*m));
@@ -246,11 +248,11 @@
         let old = self
             .held
             .iter()
-            .filter(move |(_, since)| **since == Time::ZERO || now >= **since + LEAST_STAY);
+            .filter(move |(_, since)| **since == Time::ZERO || now >= **since + MIN_RESIDENCE);
         old.map(|(name, _)| name)
     }
 
-    /// Returns from where the weights of a model would come.
+    /// Returns the fastest source of the weights of a model.
     pub(super) fn checkpoint(&self, model: &Name) -> Checkpoint {
         if self.state.cached.contains(model) {
             Checkpoint::Memory
@@ -262,117 +264,119 @@
     }
 
     pub(super) fn will_have_adapter(&self, adapter: &Name) -> bool {
-        self.adapters.contains_key(adapter) || self.wanted.contains(adapter)
+        self.adapters.contains_key(adapter) || self.queued_adapters.contains(adapter)
     }
 
-    /// Forgets adapters whose models went meanwhile.
-    fn forget_adapters(&mut self) {
+    /// Drops queued adapters whose models are no longer loaded.
+    fn drop_orphaned_adapters(&mut self) {
         let held = &self.held;
-        self.wanted.retain(|adapter| {
+        self.queued_adapters.retain(|adapter| {
             let model = adapter.as_str().split_once(':').map(|(model, _)| model);
             model.is_some_and(|model| held.contains_key(model))
         });
     }
 
-    /// Queues an adapter.
-    pub(super) fn want_adapter(&mut self, adapter: Name, slots: u32) {
+    /// Queues an adapter to be loaded. `slots` is the number of adapters that
+    /// the engine can hold.
+    pub(super) fn queue_adapter(&mut self, adapter: Name, slots: u32) {
         self.adapter_slots = slots;
-        self.wanted.push_back(adapter);
+        self.queued_adapters.push_back(adapter);
     }
 
-    /// Takes in the answer to the last order; returns from where a load began.
-    pub(super) fn ordered(&mut self, now: Time, reply: EngineReply) -> Option<Checkpoint> {
-        let sent = self.sent.take()?;
+    /// Processes the reply to the last order. Returns the source of the load if
+    /// one started.
+    pub(super) fn on_reply(&mut self, now: Time, reply: EngineReply) -> Option<Checkpoint> {
+        let pending = self.pending.take()?;
         match reply {
             EngineReply::Started => {
                 self.accepted = self.accepted.map(|a| a + 1);
-                self.tries = 0;
-                self.stale = now + STALE_LIFE;
-                return self.carried_out(now, &sent);
+                self.busy_replies = 0;
+                self.stale_until = now + STALE_ANNOUNCEMENT_TTL;
+                return self.apply_order(now, &pending);
             }
             EngineReply::Holds => {
-                // An adapter that is not in use is dropped at once, which counts
-                // as an order.
-                if matches!(sent, Sent::DropAdapter(_)) {
+                // An unused adapter is dropped immediately, which the engine
+                // counts as an order.
+                if matches!(pending, PendingOrder::UnloadAdapter(_)) {
                     self.accepted = self.accepted.map(|a| a + 1);
                 }
-                return self.carried_out(now, &sent);
+                return self.apply_order(now, &pending);
             }
-            EngineReply::Busy => self.busy(now),
+            EngineReply::Busy => self.on_busy(now),
             EngineReply::Unknown => {
                 self.accepted = None;
-                self.resting = now + DOUBT_PAUSE;
+                self.backoff_until = now + UNANSWERED_DELAY;
             }
             EngineReply::Fenced | EngineReply::Rejected | EngineReply::Moved => {
                 self.accepted = None;
-                self.wanted.clear();
-                self.rest(now + SILENT_PAUSE);
+                self.queued_adapters.clear();
+                self.back_off(now + SILENT_BACKOFF);
             }
         }
         None
     }
 
-    fn busy(&mut self, now: Time) {
-        self.resting = now + EVICTION_PAUSE;
-        self.tries += 1;
-        if self.tries >= BUSY_TRIES {
-            // The count of orders may be another than was thought.
+    fn on_busy(&mut self, now: Time) {
+        self.backoff_until = now + EVICTION_DELAY;
+        self.busy_replies += 1;
+        if self.busy_replies >= MAX_BUSY_REPLIES {
+            // The assumed number of accepted orders may be wrong.
             self.accepted = None;
-            self.tries = 0;
-            self.wanted.clear();
+            self.busy_replies = 0;
+            self.queued_adapters.clear();
         }
     }
 
-    fn carried_out(&mut self, now: Time, sent: &Sent) -> Option<Checkpoint> {
-        match sent {
-            Sent::Evict(model) => {
+    fn apply_order(&mut self, now: Time, pending: &PendingOrder) -> Option<Checkpoint> {
+        match pending {
+            PendingOrder::Evict(model) => {
                 self.held.remove(model);
-                self.adapters.retain(|a, _| !is_of(a, model));
+                self.adapters.retain(|a, _| !is_adapter_of(a, model));
                 self.evicted.insert(model.clone(), now);
-                self.resting = now + EVICTION_PAUSE;
+                self.backoff_until = now + EVICTION_DELAY;
                 if let Some(job) = &mut self.job {
                     job.evict.retain(|m| m != model);
                     if job.evict.is_empty() {
-                        job.phase = Phase::Load;
+                        job.phase = JobPhase::Load;
                     }
                 }
                 None
             }
-            Sent::Load => {
+            PendingOrder::Load => {
                 let job = self.job.as_mut()?;
-                let ready = now + job.takes;
-                job.phase = Phase::Loading { ready };
+                let ready = now + job.duration;
+                job.phase = JobPhase::Loading { ready };
                 self.evicted.remove(&job.model);
                 Some(job.source)
             }
-            Sent::Adapter(adapter) => {
-                self.wanted.pop_front();
+            PendingOrder::LoadAdapter(adapter) => {
+                self.queued_adapters.pop_front();
                 self.adapters.insert(adapter.clone(), now);
-                self.fetched = Some((adapter.clone(), now + ADAPTER_TIME));
+                self.fetched = Some((adapter.clone(), now + ADAPTER_LOAD_DURATION));
                 None
             }
-            Sent::DropAdapter(adapter) => {
+            PendingOrder::UnloadAdapter(adapter) => {
                 self.adapters.remove(adapter);
                 None
             }
         }
     }
 
-    /// Takes in the engine's state.
-    pub(super) fn reported(&mut self, now: Time, report: Option<EngineReport>) {
-        self.is_asked = false;
+    /// Applies a report of the engine's state.
+    pub(super) fn on_report(&mut self, now: Time, report: Option<EngineReport>) {
+        self.awaiting_report = false;
         let Some(report) = report else {
-            self.resting = now + SILENT_PAUSE;
+            self.backoff_until = now + SILENT_BACKOFF;
             return;
         };
         self.accepted = Some(report.accepted);
         let is_own = self.job.as_ref().is_some_and(Job::is_loading);
         if report.busy && !is_own {
-            // What it carries out was ordered by a predecessor, or is an order
-            // that went unanswered: its memory is not known until it is done.
+            // The running order came from a previous leader or went unanswered,
+            // so the memory of the engine is unknown until it is done.
             self.accepted = None;
             self.job = None;
-            self.resting = now + EVICTION_PAUSE * 2;
+            self.backoff_until = now + EVICTION_DELAY * 2;
         }
         let since = |m: &Name| self.held.get(m).copied().unwrap_or(now);
         self.held = report
@@ -380,11 +384,11 @@
             .iter()
             .map(|m| (m.clone(), since(m)))
             .collect();
-        let used = |a: &Name| self.adapters.get(a).copied().unwrap_or(now);
+        let since = |a: &Name| self.adapters.get(a).copied().unwrap_or(now);
         self.adapters = report
             .adapters
             .iter()
-            .map(|a| (a.clone(), used(a)))
+            .map(|a| (a.clone(), since(a)))
             .collect();
         let Some(job) = &mut self.job else {
             return;
@@ -395,42 +399,42 @@
             return;
         }
         job.phase = match job.phase {
-            Phase::Loading { .. } if report.busy => Phase::Loading { ready: now },
-            _ if !job.evict.is_empty() => Phase::Evict,
-            _ => Phase::Load,
+            JobPhase::Loading { .. } if report.busy => JobPhase::Loading { ready: now },
+            _ if !job.evict.is_empty() => JobPhase::Evict,
+            _ => JobPhase::Load,
         };
     }
 
-    /// Takes the job one step further.
-    pub(super) fn drive(&mut self, now: Time, name: &Name, out: &mut Vec<LoaderAction>) {
-        if self.sent.is_some() || self.is_asked || now < self.resting {
+    /// Sends the next order of the job, if one is due.
+    pub(super) fn advance(&mut self, now: Time, name: &Name, out: &mut Vec<LoaderAction>) {
+        if self.pending.is_some() || self.awaiting_report || now < self.backoff_until {
             return;
         }
         if self.state.leaving {
             self.job = None;
-            self.wanted.clear();
+            self.queued_adapters.clear();
             return;
         }
         if let Some(Job {
-            phase: Phase::Loading { ready },
+            phase: JobPhase::Loading { ready },
             ..
         }) = &self.job
         {
-            // Other orders would find it busy.
-            if now >= *ready + VERIFY_PAUSE {
-                self.ask(name, out);
+            // The engine would refuse other orders as busy.
+            if now >= *ready + VERIFY_DELAY {
+                self.request_report(name, out);
             }
             return;
         }
-        self.forget_adapters();
-        let Some((sent, kind)) = self.next_order() else {
+        self.drop_orphaned_adapters();
+        let Some((pending, kind)) = self.next_order() else {
             return;
         };
         let Some(expected) = self.accepted else {
-            self.ask(name, out);
+            self.request_report(name, out);
             return;
         };
-        self.sent = Some(sent);
+        self.pending = Some(pending);
         out.push(LoaderAction::Order {
             engine: name.clone(),
             kind,
@@ -438,41 +442,41 @@
         });
     }
 
-    fn ask(&mut self, name: &Name, out: &mut Vec<LoaderAction>) {
-        self.is_asked = true;
-        out.push(LoaderAction::Report(name.clone()));
+    fn request_report(&mut self, name: &Name, out: &mut Vec<LoaderAction>) {
+        self.awaiting_report = true;
+        out.push(LoaderAction::QueryState(name.clone()));
     }
 
-    fn next_order(&self) -> Option<(Sent, OrderKind)> {
-        if let Some(adapter) = self.wanted.front() {
+    fn next_order(&self) -> Option<(PendingOrder, OrderKind)> {
+        if let Some(adapter) = self.queued_adapters.front() {
             let is_full = self.adapters.len() >= self.adapter_slots as usize;
-            let oldest = self.adapters.iter().min_by_key(|(_, used)| **used);
+            let oldest = self.adapters.iter().min_by_key(|(_, ordered)| **ordered);
             if is_full && let Some((oldest, _)) = oldest {
                 let adapter = oldest.clone();
-                let sent = Sent::DropAdapter(adapter.clone());
-                return Some((sent, OrderKind::UnloadAdapter { adapter }));
+                let pending = PendingOrder::UnloadAdapter(adapter.clone());
+                return Some((pending, OrderKind::UnloadAdapter { adapter }));
             }
             let adapter = adapter.clone();
-            let sent = Sent::Adapter(adapter.clone());
-            return Some((sent, OrderKind::LoadAdapter { adapter }));
+            let pending = PendingOrder::LoadAdapter(adapter.clone());
+            return Some((pending, OrderKind::LoadAdapter { adapter }));
         }
         let job = self.job.as_ref()?;
         match job.phase {
-            Phase::Evict => {
+            JobPhase::Evict => {
                 let model = job.evict.front()?.clone();
-                let sent = Sent::Evict(model.clone());
-                Some((sent, OrderKind::Unload { model }))
+                let pending = PendingOrder::Evict(model.clone());
+                Some((pending, OrderKind::Unload { model }))
             }
-            Phase::Load => {
+            JobPhase::Load => {
                 let (model, memory) = (job.model.clone(), job.memory);
-                Some((Sent::Load, OrderKind::Load { model, memory }))
+                Some((PendingOrder::Load, OrderKind::Load { model, memory }))
             }
-            Phase::Loading { .. } => None,
+            JobPhase::Loading { .. } => None,
         }
     }
 }
 
-fn is_of(adapter: &Name, model: &Name) -> bool {
+fn is_adapter_of(adapter: &Name, model: &Name) -> bool {
     let named = adapter.as_str().split_once(':');
     named.is_some_and(|(m, _)| m == model.as_str())
 }
--- a/crates/sequoiawing_policy/src/serving/loader/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/mod.rs
@@ -1,4 +1,4 @@
-//! Which engine loads which model.
+//! Placement of models on engines.
 
 mod demand;
 mod engine;
@@ -6,9 +6,9 @@
 mod victims;
 
 use super::{EngineReply, EngineReport};
-use demand::{Demands, Noted};
-use engine::{Engine, Job, Phase};
-use inventory::Census;
+use demand::{DemandSample, DemandTracker};
+use engine::{Engine, Job, JobPhase};
+use inventory::PoolInventory;
 use sequoiawing_catalog::{Catalog, CatalogIndex, CatalogPool, ModelSpec};
 use sequoiawing_fleet::{OrderKind, UpstreamState};
 use sequoiawing_types::{Name, Time};
@@ -19,44 +19,45 @@
 };
 use victims::Victims;
 
-/// How long an engine is left alone after an order that it can't carry out.
-const REJECTED_PAUSE: Duration = Duration::from_secs(2);
+/// The pause after an engine rejected an order.
+const REJECTED_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long a load is announced after its estimated end; by then its engine
-/// has announced it.
-const ANNOUNCED_LIFE: Duration = Duration::from_millis(2_500);
+/// How long the load of an adapter stays in the plans after its estimated end.
+/// By then the engine has announced the adapter.
+const ADAPTER_PLAN_TTL: Duration = Duration::from_millis(2_500);
 
-/// What the loader is bounded by.
+/// The limits of a [`ModelLoader`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoaderSettings {
-    /// The loads from the weight store that run at once at full speed.
+    /// The number of concurrent loads from the weight store at full bandwidth.
     pub store_loads: usize,
-    /// The requests a second that one copy of a model bears before there
-    /// should be another.
-    pub copy_rate: f64,
+    /// The requests per second that one replica of a model can serve before
+    /// another is loaded.
+    pub replica_rate: f64,
 }
 
 impl Default for LoaderSettings {
     fn default() -> Self {
         Self {
             store_loads: 4,
-            copy_rate: 20.0,
+            replica_rate: 20.0,
         }
     }
 }
 
-/// What the loader is told.
+/// An input of a [`ModelLoader`].
 #[derive(Clone, Debug)]
 pub enum LoaderEvent {
-    /// A configuration is in force.
+    /// A new configuration is in effect.
     Catalog(Arc<Catalog>),
     /// An upstream announced itself.
     Upstream(Arc<UpstreamState>),
-    /// An upstream is gone or silent.
+    /// An upstream has left or stopped announcing itself.
     Gone(Name),
-    /// Most gateways can't reach these upstreams.
+    /// The upstreams that most gateways cannot reach. Replaces the previous
+    /// set.
     Unreachable(BTreeSet<Name>),
-    /// Requests came for a model or adapter.
+    /// Requests arrived for a model or adapter.
     Demand {
         /// The pool.
         pool: Name,
@@ -64,61 +65,63 @@
         model: Name,
         /// The adapter, as `model:adapter`.
         adapter: Option<Name>,
-        /// The requests.
+        /// The number of requests.
         asked: u64,
-        /// Those that found no upstream with it.
+        /// How many of them found no upstream that has loaded it.
         missed: u64,
-        /// Those that found all upstreams with it full.
+        /// How many of them found all such upstreams full.
         crowded: u64,
     },
-    /// An engine answered an order.
-    Ordered {
+    /// An engine replied to an order.
+    OrderAnswered {
         /// The engine.
         engine: Name,
-        /// Its answer.
+        /// The reply.
         reply: EngineReply,
     },
-    /// An engine was asked for its state.
+    /// A request for the state of an engine completed.
     Reported {
         /// The engine.
         engine: Name,
-        /// Its state, if it answered.
+        /// The state, or `None` if the engine did not answer.
         report: Option<EngineReport>,
     },
-    /// What came before is to be decided upon, or time has passed.
+    /// Starts a decision on the basis of all previous events, and advances
+    /// time.
     Tick,
 }
 
-/// What the loader wants done.
+/// An output of a [`ModelLoader`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LoaderAction {
-    /// Ask an engine for its state.
-    Report(Name),
-    /// Give an engine an order.
+    /// Request the state of an engine.
+    QueryState(Name),
+    /// Send an order to an engine.
     Order {
         /// The engine.
         engine: Name,
         /// The order.
         kind: OrderKind,
-        /// The orders that it must have accepted before.
+        /// The number of orders that the engine must have accepted before this
+        /// one.
         expected: u64,
     },
 }
 
-/// A load that is under way or just done.
+/// A load that is in progress or has just finished.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadPlan {
     /// The pool.
     pub pool: Name,
     /// The model, or adapter as `model:adapter`.
     pub model: Name,
-    /// The engine; empty while none is free.
+    /// The engine, or an empty name while the load waits for one.
     pub engine: Name,
-    /// When it should be done.
+    /// The estimated completion time.
     pub ready: Time,
 }
 
-/// Where the weights of a load come from.
+/// The fastest source from which an engine can load the weights of a model.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Checkpoint {
     Memory,
@@ -126,44 +129,48 @@
     Store,
 }
 
-/// Decides which engine loads which model, on the host that leads.
+/// Decides which engine loads which model; runs on the leading host.
 ///
-/// Models that are asked for and not loaded come first, on the engine where
-/// the load is fast and what has to go is missed least; then further copies of
-/// models that one engine can't bear; then, while the weight store is idle,
-/// models of which no engine has a copy at hand; last, memory that stands free is
-/// filled out of copies at hand.
+/// Loads are chosen in this order:
+///
+/// 1. Models that are requested but not loaded, on the engine with the least
+///    cost of the load and of the models that it evicts.
+/// 2. Further replicas of models whose demand exceeds what their replicas can
+///    serve.
+/// 3. While the weight store is idle, models whose weights are not yet in the
+///    memory or on the disk of any engine.
+/// 4. Models with local checkpoints that fit into free engine memory.
 pub struct ModelLoader {
     settings: LoaderSettings,
     index: CatalogIndex,
     engines: BTreeMap<Name, Engine>,
-    demands: Demands,
-    /// When the last load from the store began.
-    store_begun: Option<Time>,
-    announced: Vec<LoadPlan>,
-    /// Loads that wait for an engine.
+    demands: DemandTracker,
+    /// When the last load from the weight store started.
+    last_store_load: Option<Time>,
+    adapter_plans: Vec<LoadPlan>,
+    /// Loads that wait for a free engine.
     queued: Vec<LoadPlan>,
 }
 
 impl ModelLoader {
-    /// Returns a loader that knows nothing yet.
+    /// Creates a loader without configuration and engines.
     pub fn new(settings: LoaderSettings) -> Self {
         Self {
             settings,
             index: CatalogIndex::default(),
             engines: BTreeMap::new(),
-            demands: Demands::default(),
-            store_begun: None,
-            announced: Vec::new(),
+            demands: DemandTracker::default(),
+            last_store_load: None,
+            adapter_plans: Vec::new(),
             queued: Vec::new(),
         }
     }
 
-    /// Takes in an event and adds what is to be done to `out`.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: LoaderEvent, out: &mut Vec<LoaderAction>) {
         match event {
             LoaderEvent::Catalog(catalog) => self.index = CatalogIndex::new(&catalog),
-            LoaderEvent::Upstream(state) => self.upstream(now, state),
+            LoaderEvent::Upstream(state) => self.on_upstream(now, state),
             LoaderEvent::Gone(name) => {
                 self.engines.remove(&name);
             }
@@ -180,29 +187,30 @@
                 missed,
                 crowded,
             } => {
-                let noted = Noted {
+                let sample = DemandSample {
                     asked,
                     missed: missed > 0,
-                    crowded: crowded > 0,
+                    saturated: crowded > 0,
                 };
-                self.demands.note(now, (pool, model, adapter), noted);
+                self.demands.record(now, (pool, model, adapter), sample);
             }
-            LoaderEvent::Ordered { engine, reply } => self.ordered(now, &engine, reply),
-            LoaderEvent::Reported { engine, report } => self.reported(now, &engine, report),
+            LoaderEvent::OrderAnswered { engine, reply } => self.on_reply(now, &engine, reply),
+            LoaderEvent::Reported { engine, report } => self.on_report(now, &engine, report),
             LoaderEvent::Tick => {
-                self.announced.retain(|p| now < p.ready + ANNOUNCED_LIFE);
-                self.check_room();
+                self.adapter_plans
+                    .retain(|p| now < p.ready + ADAPTER_PLAN_TTL);
+                self.cancel_oversized();
                 self.decide(now);
-                self.drive(now, out);
+                self.advance_jobs(now, out);
             }
         }
     }
 
-    /// Returns the loads that are under way or just done.
+    /// Returns the loads that are queued, in progress or just finished.
     pub fn plans(&self) -> Vec<LoadPlan> {
         let running = self.engines.iter().filter_map(|(name, engine)| {
             let job = engine.job.as_ref()?;
-            let Phase::Loading { ready } = job.phase else {
+            let JobPhase::Loading { ready } = job.phase else {
                 return None;
             };
             Some(LoadPlan {
@@ -213,12 +221,12 @@
             })
         });
         let queued = self.queued.iter().cloned();
-        let announced = self.announced.iter().cloned();
-        running.chain(announced).chain(queued).collect()
+        let adapter_plans = self.adapter_plans.iter().cloned();
+        running.chain(adapter_plans).chain(queued).collect()
     }
 
-    /// Returns the models that engines were told to give up, and that they may
-    /// still announce.
+    /// Returns pairs of an engine and a model that it was ordered to evict but
+    /// may still announce.
     pub fn evicted(&self) -> Vec<(Name, Name)> {
         let all = self.engines.iter().flat_map(|(name, engine)| {
             let evicted = engine.evicted.keys();
@@ -227,7 +235,7 @@
         all.collect()
     }
 
-    fn upstream(&mut self, now: Time, state: Arc<UpstreamState>) {
+    fn on_upstream(&mut self, now: Time, state: Arc<UpstreamState>) {
         let pool = self.index.pool(&state.pool);
         if pool.is_none_or(|p| p.engine.is_none()) {
             self.engines.remove(&state.name);
@@ -243,13 +251,13 @@
         }
     }
 
-    fn ordered(&mut self, now: Time, name: &Name, reply: EngineReply) {
+    fn on_reply(&mut self, now: Time, name: &Name, reply: EngineReply) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let started = engine.ordered(now, reply);
+        let started = engine.on_reply(now, reply);
         if let Some(fetched) = engine.fetched.take() {
-            self.announced.push(LoadPlan {
+            self.adapter_plans.push(LoadPlan {
                 pool: engine.state.pool.clone(),
                 model: fetched.0,
                 engine: name.clone(),
@@ -257,49 +265,51 @@
             });
         }
         if started == Some(Checkpoint::Store) {
-            self.store_begun = Some(now);
+            self.last_store_load = Some(now);
         }
         if matches!(reply, EngineReply::Rejected | EngineReply::Moved) {
-            engine.rest(now + REJECTED_PAUSE);
+            engine.back_off(now + REJECTED_BACKOFF);
         }
     }
 
-    fn reported(&mut self, now: Time, name: &Name, report: Option<EngineReport>) {
+    fn on_report(&mut self, now: Time, name: &Name, report: Option<EngineReport>) {
         if let Some(engine) = self.engines.get_mut(name) {
-            engine.reported(now, report);
+            engine.on_report(now, report);
         }
     }
 
-    /// Finds work for engines that have none.
+    /// Assigns jobs to idle engines.
     fn decide(&mut self, now: Time) {
         let catalog = self.index.catalog().clone();
         self.queued.clear();
         for pool in catalog.pools.iter().filter(|p| p.engine.is_some()) {
-            self.fetch_adapters(now, pool);
-            let mut census = self.census(now, pool);
-            for (model, value) in self.wanted(now, pool, &census) {
-                if !self.place(now, pool, &mut census, &model, value) {
-                    self.queue(now, pool, &census, &model);
+            self.queue_adapters(now, pool);
+            let mut inventory = self.inventory(now, pool);
+            for (model, value) in self.wanted(now, pool, &inventory) {
+                if !self.assign_load(now, pool, &mut inventory, &model, value) {
+                    self.plan_queued(now, pool, &inventory, &model);
                 }
             }
-            self.spread(now, pool, &mut census);
-            self.fill(now, pool, &mut census);
+            self.prefetch(now, pool, &mut inventory);
+            self.fill_free_memory(now, pool, &mut inventory);
         }
     }
 
-    /// Loads models that no engine holds into memory that stands free, out of
-    /// copies at hand: of those that fit the most asked for, and of these the
-    /// largest.
-    fn fill(&mut self, now: Time, pool: &CatalogPool, census: &mut Census) {
-        let roomy = census.free.iter();
-        let roomy = roomy.filter_map(|(name, room)| Some((name.clone(), (*room)?)));
-        for (name, room) in roomy.collect::<Vec<_>>() {
+    /// Fills free engine memory with models that no engine holds, from local
+    /// checkpoints. Prefers the most requested model that fits, and the largest
+    /// among equals.
+    fn fill_free_memory(&mut self, now: Time, pool: &CatalogPool, inventory: &mut PoolInventory) {
+        let engines = inventory.free.iter();
+        let engines =
+            engines.filter_map(|(name, free_memory)| Some((name.clone(), (*free_memory)?)));
+        for (name, free_memory) in engines.collect::<Vec<_>>() {
             let Some(engine) = self.engines.get_mut(&name) else {
                 continue;
             };
-            let copies = engine.state.cached.iter().chain(&engine.state.disk);
-            let specs = copies.filter_map(|model| self.index.model(&pool.name, model));
-            let fitting = specs.filter(|m| m.weights <= room && census.copies(&m.name) == 0);
+            let checkpoints = engine.state.cached.iter().chain(&engine.state.disk);
+            let specs = checkpoints.filter_map(|model| self.index.model(&pool.name, model));
+            let fitting =
+                specs.filter(|m| m.weights <= free_memory && inventory.replicas(&m.name) == 0);
             let rated = fitting.map(|m| (self.demands.rate(now, &pool.name, &m.name), m));
             let best = rated.max_by(|a, b| {
                 let sizes = a.1.weights.cmp(&b.1.weights);
@@ -310,41 +320,49 @@
             };
             let source = engine.checkpoint(&model.name);
             engine.job = Some(Job::new(model, source, Vec::new()));
-            census.place(&name, &model.name, &[]);
+            inventory.assign(&name, &model.name, &[]);
         }
     }
 
-    /// Counts what the engines of a pool hold, once for all models.
-    fn census(&self, now: Time, pool: &CatalogPool) -> Census {
-        let mut census = Census::default();
+    /// Builds the inventory of a pool, once for all models.
+    fn inventory(&self, now: Time, pool: &CatalogPool) -> PoolInventory {
+        let mut inventory = PoolInventory::default();
         let engines = self.engines.iter();
         for (name, engine) in engines.filter(|(_, e)| e.state.pool == pool.name) {
-            census.engines += 1;
+            inventory.engines += 1;
             if engine.is_serving() {
-                census.count(engine);
+                inventory.add(engine);
             }
             if engine.is_free(now) {
-                census.free.insert(name.clone(), self.room(pool, engine));
+                inventory
+                    .free
+                    .insert(name.clone(), self.free_memory(pool, engine));
             }
         }
-        census
+        inventory
     }
 
-    /// Returns the models that should be loaded now, the most valuable first.
-    fn wanted(&self, now: Time, pool: &CatalogPool, census: &Census) -> Vec<(ModelSpec, f64)> {
+    /// Returns the models that should be loaded now with their values, the most
+    /// valuable first.
+    fn wanted(
+        &self,
+        now: Time,
+        pool: &CatalogPool,
+        inventory: &PoolInventory,
+    ) -> Vec<(ModelSpec, f64)> {
         let models = pool.engine.iter().flat_map(|e| &e.models);
         let mut wanted: Vec<(ModelSpec, f64)> = models
             .filter_map(|model| {
-                let copies = census.copies(&model.name);
+                let replicas = inventory.replicas(&model.name);
                 let rate = self.demands.rate(now, &pool.name, &model.name);
                 let is_missed = self.demands.is_missed(now, &pool.name, &model.name);
-                let borne = count(copies) * self.settings.copy_rate;
-                let value = if copies == 0 && is_missed {
+                let served = count(replicas) * self.settings.replica_rate;
+                let value = if replicas == 0 && is_missed {
                     rate + 1.0
-                } else if copies > 0 && rate > borne {
-                    rate - borne
-                } else if copies > 0 && self.demands.is_crowded(now, &pool.name, &model.name) {
-                    rate / (count(copies) + 1.0)
+                } else if replicas > 0 && rate > served {
+                    rate - served
+                } else if replicas > 0 && self.demands.is_saturated(now, &pool.name, &model.name) {
+                    rate / (count(replicas) + 1.0)
                 } else {
                     return None;
                 };
@@ -355,7 +373,7 @@
         wanted
     }
 
-    /// Counts the loads from the weight store that are under way.
+    /// Returns the number of loads from the weight store in progress.
     fn store_loads(&self) -> usize {
         let jobs = self.engines.values().filter_map(|e| e.job.as_ref());
         jobs.filter(|j| j.source == Checkpoint::Store).count()
@@ -367,41 +385,48 @@
             .as_ref()
             .map(sequoiawing_catalog::Engine::load_pause);
         let pause = pause.unwrap_or_default();
-        let is_paced = self.store_begun.is_none_or(|at| now >= at + pause);
-        is_paced && self.store_loads() < self.settings.store_loads
+        let is_pause_over = self.last_store_load.is_none_or(|at| now >= at + pause);
+        is_pause_over && self.store_loads() < self.settings.store_loads
     }
 
-    /// Announces a load from a copy at hand that waits for an engine.
-    fn queue(&mut self, now: Time, pool: &CatalogPool, census: &Census, model: &ModelSpec) {
-        let is_first = census.copies(&model.name) == 0;
-        if !is_first || !census.is_at_hand(&model.name) {
+    /// Plans a load from a local checkpoint that waits for a free engine.
+    fn plan_queued(
+        &mut self,
+        now: Time,
+        pool: &CatalogPool,
+        inventory: &PoolInventory,
+        model: &ModelSpec,
+    ) {
+        let is_first = inventory.replicas(&model.name) == 0;
+        if !is_first || !inventory.has_checkpoint(&model.name) {
             return;
         }
-        let rounds = count(self.queued.len()) / count(census.engines).max(1.0) + 1.0;
-        let takes = load_time(model, Checkpoint::Disk) + EVICTION_TIME;
+        let rounds = count(self.queued.len()) / count(inventory.engines).max(1.0) + 1.0;
+        let duration = load_time(model, Checkpoint::Disk) + EVICTION_DURATION;
         self.queued.push(LoadPlan {
             pool: pool.name.clone(),
             model: model.name.clone(),
             engine: Name::from(""),
-            ready: now + takes.mul_f64(rounds + 1.0),
+            ready: now + duration.mul_f64(rounds + 1.0),
         });
     }
 
-    /// Gives a load to the engine where it costs least; reports whether one
-    /// takes it.
-    fn place(
+    /// Assigns a load to the engine with the least cost. Returns whether there
+    /// is one.
+    fn assign_load(
         &mut self,
         now: Time,
         pool: &CatalogPool,
-        census: &mut Census,
+        inventory: &mut PoolInventory,
         model: &ModelSpec,
         value: f64,
     ) -> bool {
-        // An engine with a copy at hand is soon free again.
-        let is_near = census.is_at_hand(&model.name);
-        let from_store = !is_near && self.may_load_from_store(now, pool);
+        // An engine with a local checkpoint will be free soon, so the weight
+        // store is not used.
+        let has_checkpoint = inventory.has_checkpoint(&model.name);
+        let from_store = !has_checkpoint && self.may_load_from_store(now, pool);
         let mut best: Option<(f64, Name, Checkpoint, Vec<Name>)> = None;
-        for (name, room) in &census.free {
+        for (name, free_memory) in &inventory.free {
             let Some(engine) = self.engines.get(name) else {
                 continue;
             };
@@ -412,15 +437,17 @@
             if source == Checkpoint::Store && !from_store {
                 continue;
             }
-            let free = room.and_then(|room| self.victims(now, pool, census, engine, (model, room)));
-            let Some(victims) = free else {
+            let victims = free_memory.and_then(|free_memory| {
+                self.victims(now, pool, inventory, engine, (model, free_memory))
+            });
+            let Some(victims) = victims else {
                 continue;
             };
             if victims.value >= value {
                 continue;
             }
             let seconds = load_time(model, source).as_secs_f64();
-            let cost = seconds + victims.value + engine.resting_cost(now);
+            let cost = seconds + victims.value + engine.recent_order_cost(now);
             if best.as_ref().is_none_or(|b| cost < b.0) {
                 best = Some((cost, name.clone(), source, victims.models));
             }
@@ -429,38 +456,38 @@
             return false;
         };
         if source == Checkpoint::Store {
-            self.store_begun = Some(now);
+            self.last_store_load = Some(now);
         }
-        census.place(&name, &model.name, &evict);
+        inventory.assign(&name, &model.name, &evict);
         if let Some(engine) = self.engines.get_mut(&name) {
             engine.job = Some(Job::new(model, source, evict));
         }
-        // One more copy is tried before another.
-        self.demands.clear_crowded(&pool.name, &model.name);
+        // Wait for the effect of this replica before loading another.
+        self.demands.clear_saturated(&pool.name, &model.name);
         true
     }
 
-    /// Brings models to the disks of engines while the weight store is idle,
-    /// so that a later load is fast.
-    fn spread(&mut self, now: Time, pool: &CatalogPool, census: &mut Census) {
+    /// Prefetches models to engine disks while the weight store is idle, so
+    /// that later loads are fast.
+    fn prefetch(&mut self, now: Time, pool: &CatalogPool, inventory: &mut PoolInventory) {
         if !self.may_load_from_store(now, pool) {
             return;
         }
         let models = pool.engine.iter().flat_map(|e| &e.models);
-        let lacking = models
+        let absent = models
             .rev()
-            .filter(|m| census.copies(&m.name) == 0 && !census.is_at_hand(&m.name))
+            .filter(|m| inventory.replicas(&m.name) == 0 && !inventory.has_checkpoint(&m.name))
             .map(|m| (m, self.demands.rate(now, &pool.name, &m.name)));
-        // Of equal rates the first model in the configuration counts.
-        let most = lacking.max_by(|a, b| a.1.total_cmp(&b.1));
+        // Among equal rates, the first model in the configuration wins.
+        let most = absent.max_by(|a, b| a.1.total_cmp(&b.1));
         let Some((model, rate)) = most.map(|(m, rate)| (m.clone(), rate)) else {
             return;
         };
-        self.place(now, pool, census, &model, rate + SPREAD_VALUE);
+        self.assign_load(now, pool, inventory, &model, rate + PREFETCH_VALUE);
     }
 
-    /// Has adapters fetched that requests missed.
-    fn fetch_adapters(&mut self, now: Time, pool: &CatalogPool) {
+    /// Queues the adapters that requests found missing.
+    fn queue_adapters(&mut self, now: Time, pool: &CatalogPool) {
         let slots = pool.engine.as_ref().map_or(0, |e| e.adapter_slots);
         for (model, adapter) in self.demands.missed_adapters(now, &pool.name) {
             let engines = self.engines.values_mut();
@@ -471,21 +498,22 @@
             }
             holders.sort_by_key(|e| e.adapters.len());
             if let Some(engine) = holders.into_iter().next() {
-                engine.want_adapter(adapter, slots);
+                engine.queue_adapter(adapter, slots);
             }
         }
     }
 
-    /// Returns the memory that a model takes; all that there is when it is not
-    /// known.
+    /// Returns the memory of a model in megabytes, or `u64::MAX` if the model
+    /// is unknown.
     fn weights(&self, pool: &CatalogPool, model: &Name) -> u64 {
         let spec = self.index.model(&pool.name, model);
         spec.map_or(u64::MAX, |m| m.weights)
     }
 
-    /// Returns the memory that an engine has free for models beside as many
-    /// adapters as it may hold; nothing when it may be overcommitted.
-    fn room(&self, pool: &CatalogPool, engine: &Engine) -> Option<u64> {
+    /// Returns the memory of an engine that is free for models, in megabytes,
+    /// after the reserve for adapters. Returns `None` if the engine may be
+    /// overcommitted.
+    fn free_memory(&self, pool: &CatalogPool, engine: &Engine) -> Option<u64> {
         let capacity = pool.engine.as_ref()?.weights;
         let models = engine.held_or_announced().map(|m| self.weights(pool, m));
         let adapters = engine.adapters.keys().map(|adapter| {
@@ -501,20 +529,20 @@
         Some(capacity.saturating_sub(models + adapters))
     }
 
-    /// Gives up loads that no longer fit, because an engine turned out to hold
-    /// more than was thought.
-    fn check_room(&mut self) {
-        let is_crowded = |engine: &Engine| {
-            let Some(needs) = engine.job.as_ref().and_then(Job::needs) else {
+    /// Cancels loads that no longer fit, because an engine turned out to hold
+    /// more than assumed.
+    fn cancel_oversized(&mut self) {
+        let is_overcommitted = |engine: &Engine| {
+            let Some(needed) = engine.job.as_ref().and_then(Job::pending_memory) else {
                 return false;
             };
             let pool = self.index.pool(&engine.state.pool);
-            let room = pool.and_then(|pool| self.room(pool, engine));
-            room.is_none_or(|room| room < needs)
+            let free_memory = pool.and_then(|pool| self.free_memory(pool, engine));
+            free_memory.is_none_or(|free_memory| free_memory < needed)
         };
-        let crowded = self.engines.iter().filter(|(_, e)| is_crowded(e));
-        let crowded: Vec<Name> = crowded.map(|(name, _)| name.clone()).collect();
-        for name in crowded {
+        let overcommitted = self.engines.iter().filter(|(_, e)| is_overcommitted(e));
+        let overcommitted: Vec<Name> = overcommitted.map(|(name, _)| name.clone()).collect();
+        for name in overcommitted {
             if let Some(engine) = self.engines.get_mut(&name) {
                 engine.job = None;
             }
@@ -525,19 +553,20 @@
         &self,
         now: Time,
         pool: &CatalogPool,
-        census: &Census,
+        inventory: &PoolInventory,
         engine: &Engine,
-        (model, room): (&ModelSpec, u64),
+        (model, free_memory): (&ModelSpec, u64),
     ) -> Option<Victims> {
-        let needed = model.weights.saturating_sub(room);
+        let needed = model.weights.saturating_sub(free_memory);
         let weights = |name: &Name| self.weights(pool, name);
         let value = |name: &Name| {
-            let copies = census.copies(name).saturating_sub(1);
+            let replicas = inventory.replicas(name).saturating_sub(1);
             let rate = self.demands.rate(now, &pool.name, name);
-            let lost = (rate - count(copies) * self.settings.copy_rate).max(0.0);
-            let is_near = engine.checkpoint(name) != Checkpoint::Store || copies > 0;
+            let lost = (rate - count(replicas) * self.settings.replica_rate).max(0.0);
+            let is_cheap = engine.checkpoint(name) != Checkpoint::Store || replicas > 0;
             let is_used = self.demands.is_recent(now, &pool.name, name);
-            lost + if is_near { 0.0 } else { FAR_VALUE } + if is_used { USED_VALUE } else { 0.0 }
+            lost + if is_cheap { 0.0 } else { RELOAD_VALUE }
+                + if is_used { IN_USE_VALUE } else { 0.0 }
         };
         let held = engine
             .evictable(now)
@@ -545,28 +574,28 @@
         victims::choose(held.collect(), needed)
     }
 
-    /// Has every engine's job taken one step further.
-    fn drive(&mut self, now: Time, out: &mut Vec<LoaderAction>) {
+    /// Advances the jobs of all engines.
+    fn advance_jobs(&mut self, now: Time, out: &mut Vec<LoaderAction>) {
         for (name, engine) in &mut self.engines {
-            engine.drive(now, name, out);
+            engine.advance(now, name, out);
         }
     }
 }
 
-/// How long evictions before a load take, about.
-const EVICTION_TIME: Duration = Duration::from_millis(150);
+/// The approximate duration of the evictions before a load.
+const EVICTION_DURATION: Duration = Duration::from_millis(150);
 
-/// What a copy on an engine's disk is worth before anyone asked for the model,
-/// in requests a second.
-const SPREAD_VALUE: f64 = 0.05;
+/// The value of a checkpoint on an engine disk before any request for the
+/// model, in requests per second.
+const PREFETCH_VALUE: f64 = 0.05;
 
-/// What a model is worth, in requests a second, that would have to be loaded
-/// from the weight store again.
-const FAR_VALUE: f64 = 10.0;
+/// The value added to a model that could be reloaded only from the weight
+/// store, in requests per second.
+const RELOAD_VALUE: f64 = 10.0;
 
-/// What a model is worth beyond its rate, in requests a second, that requests
-/// still run on: an eviction waits for them.
-const USED_VALUE: f64 = 0.3;
+/// The value added to a model that still runs requests, in requests per second:
+/// evicting it waits for them.
+const IN_USE_VALUE: f64 = 0.3;
 
 fn load_time(model: &ModelSpec, source: Checkpoint) -> Duration {
     Duration::from_millis(match source {
--- a/crates/sequoiawing_policy/src/serving/loader/victims.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/victims.rs
@@ -1,15 +1,17 @@
 use sequoiawing_types::Name;
 
-/// Models that make room for another.
+/// The models to evict to make room for another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Victims {
     pub(super) models: Vec<Name>,
-    /// What they are worth together.
+    /// The total value of the models.
     pub(super) value: f64,
 }
 
-/// Chooses models of least value that free `needed` megabytes together, out of
-/// names with their sizes and values; nothing when all are not enough.
+/// Chooses the models of least value that together free `needed` megabytes.
+///
+/// `held` lists names, sizes in megabytes and values. Returns `None` if
+/// evicting all of them does not suffice.
 pub(super) fn choose(mut held: Vec<(Name, u64, f64)>, needed: u64) -> Option<Victims> {
     held.sort_by(|a, b| a.2.total_cmp(&b.2).then(b.1.cmp(&a.1)));
     let mut victims = Victims::default();
@@ -25,10 +27,11 @@
     if freed < needed {
         return None;
     }
-    // One that is large enough alone may cost less than several small ones.
-    let alone = held.iter().filter(|(_, size, _)| *size >= needed);
-    let alone = alone.min_by(|a, b| a.2.total_cmp(&b.2));
-    match alone {
+    // A single model of sufficient size may be worth less than several small
+    // ones.
+    let single = held.iter().filter(|(_, size, _)| *size >= needed);
+    let single = single.min_by(|a, b| a.2.total_cmp(&b.2));
+    match single {
         Some((name, _, value)) if needed > 0 && *value <= victims.value => Some(Victims {
             models: vec![name.clone()],
             value: *value,
--- a/crates/sequoiawing_policy/src/serving/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/mod.rs
@@ -1,7 +1,7 @@
-//! Which upstream serves a request, and which engine loads which model, where
-//! configurations are replaced whole.
+//! Request balancing and model loading for deployments whose configuration is
+//! replaced as a whole.
 //!
-//! Everything here is pure: it is told the time and what happened.
+//! All types are pure state machines: callers pass in the time and every event.
 
 mod balancer;
 mod engine;
@@ -13,12 +13,14 @@
 mod shared_bucket;
 mod upstream;
 
-pub use balancer::{Assigned, Balancer, Ended, Pick, ServingWork, UpstreamKey};
+pub use balancer::{
+    Assignment, AttemptOutcome, Balancer, BalancerRequest, PickResult, UpstreamKey,
+};
 pub use engine::{EngineReply, EngineReport};
 pub use handover::handover_wait;
-pub use hub_selector::{HubChoice, HubFact, HubRole};
+pub use hub_selector::{HubRole, HubSelector, HubStatus};
 pub use loader::{LoadPlan, LoaderAction, LoaderEvent, LoaderSettings, ModelLoader};
-pub use prefix_cache::{PartMemory, PromptPart};
+pub use prefix_cache::{PrefixCache, PromptPart};
 pub use retry_window::{RetryLimits, RetryWindow};
-pub use shared_bucket::{RateView, SharedRate};
+pub use shared_bucket::{PeerView, SharedTokenBucket};
 pub use upstream::ReportedLoad;
--- a/crates/sequoiawing_policy/src/serving/prefix_cache.rs
+++ b/crates/sequoiawing_policy/src/serving/prefix_cache.rs
@@ -1,28 +1,30 @@
 use lru::LruCache;
 use serde::{Deserialize, Serialize};
 
-/// A part of a prompt that other prompts may share.
+/// A section of a prompt that other prompts may share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PromptPart {
-    /// Names the part's content.
+    /// Identifies the content.
     pub id: u64,
-    /// Its tokens.
+    /// The length in tokens.
     pub tokens: u64,
 }
 
-/// The prompt parts that an engine was recently sent, and may still keep.
+/// Tracks which prompt parts were recently sent to an engine and are probably
+/// still in its prefix cache.
 ///
-/// A part is of use only behind all parts that stand before it in the prompt.
+/// A cached part can be reused only if all parts before it in the prompt are
+/// cached too.
 #[derive(Debug)]
-pub struct PartMemory {
-    /// The tokens of parts by their identifiers, the least recently used last.
+pub struct PrefixCache {
+    /// Token counts by part ID, in LRU order.
     parts: LruCache<u64, u64>,
     tokens: u64,
     limit: u64,
 }
 
-impl PartMemory {
-    /// Returns an empty memory for as many tokens as the engine keeps.
+impl PrefixCache {
+    /// Creates an empty cache model with a capacity of `limit` tokens.
     pub fn new(limit: u64) -> Self {
         Self {
             parts: LruCache::unbounded(),
@@ -31,25 +33,28 @@
         }
     }
 
-    /// Sets how many tokens the engine keeps.
+    /// Sets the capacity of the engine's cache in tokens and evicts parts that
+    /// no longer fit.
     pub fn set_limit(&mut self, limit: u64) {
         self.limit = limit;
         self.trim();
     }
 
-    /// Returns the tokens that the engine has to read of a prompt.
-    pub fn missing(&self, parts: &[PromptPart]) -> u64 {
+    /// Returns how many tokens of a prompt are not cached and have to be
+    /// prefilled.
+    pub fn uncached(&self, parts: &[PromptPart]) -> u64 {
         let is_kept = |p: &&PromptPart| self.parts.contains(&p.id);
         let kept = parts.iter().take_while(is_kept).count();
         parts[kept..].iter().map(|p| p.tokens).sum()
     }
 
-    /// Notes that a prompt was sent.
-    pub fn note(&mut self, parts: &[PromptPart]) {
-        // The first parts are shared most and are used last.
+    /// Records that a prompt was sent to the engine.
+    pub fn record(&mut self, parts: &[PromptPart]) {
+        // Leading parts are shared by most prompts, so they are marked as used
+        // last.
         for part in parts.iter().rev() {
-            let former = self.parts.put(part.id, part.tokens).unwrap_or_default();
-            self.tokens = self.tokens + part.tokens - former;
+            let previous = self.parts.put(part.id, part.tokens).unwrap_or_default();
+            self.tokens = self.tokens + part.tokens - previous;
         }
         self.trim();
     }
--- a/crates/sequoiawing_policy/src/serving/retry_window.rs
+++ b/crates/sequoiawing_policy/src/serving/retry_window.rs
@@ -1,71 +1,73 @@
 use sequoiawing_types::Time;
 use std::{collections::VecDeque, time::Duration};
 
-/// The parts of a window that are counted apart.
-const PARTS: u32 = 10;
+/// The number of buckets into which a window is divided.
+const BUCKETS: u32 = 10;
 
-/// How much of the limits is used, in percent; hosts count their windows apart
-/// from those who judge.
+/// The share of the limits that a host uses, in percent. The remainder allows
+/// for windows of hosts that are not aligned with those in which the limits are
+/// checked.
 const USED_PERCENT: u64 = 60;
 
-/// How often requests to a pool may be sent again, over all hosts.
+/// The retry limits of a pool over all hosts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetryLimits {
-    /// The repeats that each request pays for, in thousandths.
+    /// The retries allowed per request, in thousandths.
     pub ratio: u64,
-    /// The repeats in a window beyond those, over all hosts.
+    /// The retries allowed per window in addition, over all hosts.
     pub slack: u64,
     /// The length of the window.
     pub window: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Bucket {
     start: Time,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
-/// Counts the requests and repeats of one pool on one host.
+/// Counts the requests and retries of one pool on one host in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryWindow {
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl RetryWindow {
-    /// Notes the first sending of a request.
-    pub fn note_request(&mut self, now: Time, limits: &RetryLimits) {
-        self.part(now, limits).requests += 1;
+    /// Records the first attempt of a request.
+    pub fn record_request(&mut self, now: Time, limits: &RetryLimits) {
+        self.bucket(now, limits).requests += 1;
     }
 
-    /// Counts a repeat if the limits have room for it; `hosts` share the slack.
-    pub fn take(&mut self, now: Time, limits: &RetryLimits, hosts: u32) -> bool {
-        self.part(now, limits);
-        let requests: u64 = self.parts.iter().map(|p| p.requests).sum();
-        let repeats: u64 = self.parts.iter().map(|p| p.repeats).sum();
+    /// Records a retry if the limits allow it and returns whether they do. The
+    /// slack is divided evenly among `hosts`.
+    pub fn try_retry(&mut self, now: Time, limits: &RetryLimits, hosts: u32) -> bool {
+        self.bucket(now, limits);
+        let requests: u64 = self.buckets.iter().map(|p| p.requests).sum();
+        let retries: u64 = self.buckets.iter().map(|p| p.retries).sum();
         let share = limits.slack * 1_000 / u64::from(hosts.max(1));
         let allowed = (requests * limits.ratio + share) * USED_PERCENT / 100;
-        let has_room = (repeats + 1) * 1_000 <= allowed;
+        let has_room = (retries + 1) * 1_000 <= allowed;
         if has_room {
-            self.part(now, limits).repeats += 1;
+            self.bucket(now, limits).retries += 1;
         }
         has_room
     }
 
-    fn part(&mut self, now: Time, limits: &RetryLimits) -> &mut Part {
-        let is_old = |p: &Part| now.since(p.start) >= limits.window;
-        while self.parts.front().is_some_and(is_old) {
-            self.parts.pop_front();
+    fn bucket(&mut self, now: Time, limits: &RetryLimits) -> &mut Bucket {
+        let is_old = |p: &Bucket| now.since(p.start) >= limits.window;
+        while self.buckets.front().is_some_and(is_old) {
+            self.buckets.pop_front();
         }
-        let span = limits.window / PARTS;
-        let is_current = |p: &Part| now.since(p.start) < span;
-        if !self.parts.back().is_some_and(is_current) {
-            self.parts.push_back(Part {
+        let span = limits.window / BUCKETS;
+        let is_current = |p: &Bucket| now.since(p.start) < span;
+        if !self.buckets.back().is_some_and(is_current) {
+            self.buckets.push_back(Bucket {
                 start: now,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
-        self.parts.back_mut().expect("one was just added")
+        self.buckets.back_mut().expect("one was just added")
     }
 }
--- a/crates/sequoiawing_policy/src/serving/upstream.rs
+++ b/crates/sequoiawing_policy/src/serving/upstream.rs
@@ -1,144 +1,148 @@
-use super::PartMemory;
+use super::PrefixCache;
 use sequoiawing_fleet::UpstreamState;
 use sequoiawing_types::Time;
 use std::{sync::Arc, time::Duration};
 
-/// How long a reported load counts; an engine runs most requests of that
-/// moment to their end by then.
-const LOAD_LIFE: Duration = Duration::from_secs(2);
+/// How long a reported load stays valid. After this time an engine has finished
+/// most of the requests that it counted.
+const LOAD_TTL: Duration = Duration::from_secs(2);
 
-/// How long an upstream is left alone after it could not be reached, at first.
+/// The backoff after the first failure to reach an upstream.
 const BACKOFF: Duration = Duration::from_millis(250);
 
-/// How long it is left alone at most; its silence is known by then.
+/// The longest backoff. By then the other hosts know that the upstream is
+/// silent.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How long a failure to reach it is told to others, unless it was reached
-/// again.
-const MISSED_LIFE: Duration = Duration::from_secs(4);
+/// How long a failure to reach an upstream is reported to other hosts, unless
+/// it answers before.
+const UNREACHABLE_TTL: Duration = Duration::from_secs(4);
 
-/// How long it is told to others that it was reached: what answered before it
-/// crashed must not outvote those that fail to reach it since.
-const REACHED_LIFE: Duration = Duration::from_millis(600);
+/// How long a successful contact is reported to other hosts. An answer from
+/// before a crash must not outvote the hosts that have failed to reach the
+/// upstream since.
+const REACHED_TTL: Duration = Duration::from_millis(600);
 
-/// The weight of the newest end in the share of failures.
+/// The weight of the newest outcome in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
 
-/// What an upstream says of its load in an answer.
+/// The load that an upstream reports with an answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReportedLoad {
-    /// The requests that it runs.
+    /// The number of running requests.
     pub running: u32,
-    /// The requests that wait at it.
+    /// The number of queued requests.
     pub waiting: u32,
-    /// The requests that it runs at once.
+    /// The number of requests that it can run concurrently.
     pub slots: u32,
 }
 
-/// What a host knows of one upstream.
+/// The state that a host keeps for one upstream.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) state: Arc<UpstreamState>,
-    /// The requests of this host.
+    /// The requests that this host has open.
     pub(super) open: u32,
-    /// The requests of other hosts, when it was last told.
-    others: u32,
-    others_at: Time,
+    /// The requests of other hosts, as of the last report.
+    other_open: u32,
+    other_open_at: Time,
     pub(super) is_silent: bool,
-    /// When it may be tried again.
-    pub(super) resting: Time,
-    misses: u32,
-    /// When it could not be reached last.
-    missed: Time,
-    /// When it answered last.
-    reached: Option<Time>,
-    /// The share of requests that failed lately.
-    failures: f64,
-    pub(super) parts: PartMemory,
+    /// The earliest time of the next attempt.
+    pub(super) retry_at: Time,
+    unreachable_count: u32,
+    /// The time of the last failure to reach the upstream.
+    unreachable_at: Time,
+    /// The time of the last answer.
+    reached_at: Option<Time>,
+    /// The moving average of failed requests, from 0 to 1.
+    failure_rate: f64,
+    pub(super) prefixes: PrefixCache,
 }
 
 impl Upstream {
-    pub(super) fn new(state: Arc<UpstreamState>, kept: u64) -> Self {
+    pub(super) fn new(state: Arc<UpstreamState>, cache_tokens: u64) -> Self {
         Self {
             state,
             open: 0,
-            others: 0,
-            others_at: Time::ZERO,
+            other_open: 0,
+            other_open_at: Time::ZERO,
             is_silent: false,
-            resting: Time::ZERO,
-            misses: 0,
-            missed: Time::ZERO,
-            reached: None,
-            failures: 0.0,
-            parts: PartMemory::new(kept),
+            retry_at: Time::ZERO,
+            unreachable_count: 0,
+            unreachable_at: Time::ZERO,
+            reached_at: None,
+            failure_rate: 0.0,
+            prefixes: PrefixCache::new(cache_tokens),
         }
     }
 
-    /// Returns the requests that it is estimated to have.
+    /// Estimates the number of requests at the upstream.
     pub(super) fn load(&self, now: Time) -> u32 {
-        let is_fresh = now < self.others_at + LOAD_LIFE;
-        self.open + if is_fresh { self.others } else { 0 }
+        let is_fresh = now < self.other_open_at + LOAD_TTL;
+        self.open + if is_fresh { self.other_open } else { 0 }
     }
 
-    /// Takes in the load that an answer reported.
+    /// Applies the load reported with an answer.
     pub(super) fn report(&mut self, now: Time, load: ReportedLoad) {
         let total = load.running + load.waiting;
-        self.others = total.saturating_sub(self.open);
-        self.others_at = now;
+        self.other_open = total.saturating_sub(self.open);
+        self.other_open_at = now;
     }
 
-    /// Notes that it took no more requests.
-    pub(super) fn fill(&mut self, now: Time) {
-        self.others = self.others.max(self.state.slots);
-        self.others_at = now;
-        self.resting = self.resting.max(now + BACKOFF / 2);
+    /// Records that the upstream refused a request because it is full.
+    pub(super) fn record_full(&mut self, now: Time) {
+        self.other_open = self.other_open.max(self.state.slots);
+        self.other_open_at = now;
+        self.retry_at = self.retry_at.max(now + BACKOFF / 2);
     }
 
-    /// Notes that it answered, whatever it said.
-    pub(super) fn reach(&mut self, now: Time) {
-        self.reached = Some(now);
-        self.misses = 0;
+    /// Records that the upstream answered, whatever the status.
+    pub(super) fn record_answer(&mut self, now: Time) {
+        self.reached_at = Some(now);
+        self.unreachable_count = 0;
     }
 
-    /// Reports whether it could not be reached when that was last tried.
-    pub(super) fn is_missed(&self, now: Time) -> bool {
-        self.misses > 0 && now < self.missed + MISSED_LIFE
+    /// Returns `true` if the last attempt to reach the upstream failed
+    /// recently.
+    pub(super) fn was_unreachable(&self, now: Time) -> bool {
+        self.unreachable_count > 0 && now < self.unreachable_at + UNREACHABLE_TTL
     }
 
-    /// Reports whether it answered when it was last tried.
+    /// Returns `true` if the upstream answered the last attempt, and did so
+    /// recently.
     pub(super) fn is_reached(&self, now: Time) -> bool {
-        let is_fresh = |at: Time| now < at + REACHED_LIFE;
-        self.misses == 0 && self.reached.is_some_and(is_fresh)
+        let is_fresh = |at: Time| now < at + REACHED_TTL;
+        self.unreachable_count == 0 && self.reached_at.is_some_and(is_fresh)
     }
 
-    /// Notes that it could not be reached, or sent nothing.
-    pub(super) fn miss(&mut self, now: Time) {
-        let pause = BACKOFF * 2_u32.saturating_pow(self.misses.min(8));
-        self.resting = now + pause.min(MAX_BACKOFF);
-        self.misses += 1;
-        self.missed = now;
-        self.count(1.0);
+    /// Records that the upstream could not be reached or sent no response.
+    pub(super) fn record_unreachable(&mut self, now: Time) {
+        let backoff = BACKOFF * 2_u32.saturating_pow(self.unreachable_count.min(8));
+        self.retry_at = now + backoff.min(MAX_BACKOFF);
+        self.unreachable_count += 1;
+        self.unreachable_at = now;
+        self.update_failures(1.0);
     }
 
-    /// Reports whether it rests because it could not be reached.
-    pub(super) fn is_unreachable(&self, now: Time) -> bool {
-        self.misses > 0 && now < self.resting
+    /// Returns `true` during the backoff after a failure to reach the upstream.
+    pub(super) fn is_backing_off(&self, now: Time) -> bool {
+        self.unreachable_count > 0 && now < self.retry_at
     }
 
-    pub(super) fn succeed(&mut self) {
-        self.count(0.0);
+    pub(super) fn record_success(&mut self) {
+        self.update_failures(0.0);
     }
 
-    pub(super) fn fail(&mut self) {
-        self.count(1.0);
+    pub(super) fn record_failure(&mut self) {
+        self.update_failures(1.0);
     }
 
-    fn count(&mut self, failure: f64) {
-        self.failures += (failure - self.failures) * FAILURE_WEIGHT;
+    fn update_failures(&mut self, failure: f64) {
+        self.failure_rate += (failure - self.failure_rate) * FAILURE_WEIGHT;
     }
 
-    /// Returns the share of requests that failed lately.
-    pub(super) fn failures(&self) -> f64 {
-        self.failures
+    /// Returns the moving average of failed requests, from 0 to 1.
+    pub(super) fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 }
--- a/crates/sequoiawing_policy/tests/hub_selector.rs
+++ b/crates/sequoiawing_policy/tests/hub_selector.rs
@@ -1,6 +1,6 @@
-//! Which hubs a gateway follows.
+//! Tests which hubs a gateway follows.
 
-use sequoiawing_policy::serving::{HubChoice, HubFact, HubRole};
+use sequoiawing_policy::serving::{HubRole, HubSelector, HubStatus};
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -8,53 +8,57 @@
     SocketAddr::from(([10, 0, 0, number], 7601))
 }
 
-fn fact(centre: &str, leads: bool) -> HubFact {
-    HubFact {
+fn status(centre: &str, leads: bool) -> HubStatus {
+    HubStatus {
         centre: Name::from(centre),
         leads,
         age: Duration::ZERO,
     }
 }
 
-/// Six hubs in three data centres, two in each; the first one leads.
-fn choice(seed: u64, gateways: u32) -> HubChoice {
-    let mut choice = HubChoice::new(Name::from("b"), seed);
-    choice.set_gateways(gateways);
+/// Returns a selector with six hubs in three data centres, two in each; the
+/// first one leads.
+fn selector(seed: u64, gateways: u32) -> HubSelector {
+    let mut selector = HubSelector::new(Name::from("b"), seed);
+    selector.set_gateways(gateways);
     for number in 0..6 {
-        choice.add(Time::ZERO, hub(number), number < 3);
+        selector.add(Time::ZERO, hub(number), number < 3);
         let centre = ["a", "b", "c"][usize::from(number % 3)];
-        choice.hear(Time::ZERO, hub(number), fact(centre, number == 0));
+        selector.record_answer(Time::ZERO, hub(number), status(centre, number == 0));
     }
-    choice
+    selector
 }
 
-fn with_role(choice: &HubChoice, now: Time, role: HubRole) -> Vec<SocketAddr> {
-    let hubs = choice.hubs().filter(|h| choice.role(now, *h) == role);
+fn with_role(selector: &HubSelector, now: Time, role: HubRole) -> Vec<SocketAddr> {
+    let hubs = selector.hubs().filter(|h| selector.role(now, *h) == role);
     hubs.collect()
 }
 
-fn primary(choice: &HubChoice, now: Time) -> Option<SocketAddr> {
-    let found = with_role(choice, now, HubRole::Primary);
-    assert!(found.len() <= 1, "one hub takes the demand");
+fn primary(selector: &HubSelector, now: Time) -> Option<SocketAddr> {
+    let found = with_role(selector, now, HubRole::Primary);
+    assert!(found.len() <= 1, "at most one hub is primary");
     found.into_iter().next()
 }
 
 const NOW: Time = Time::from_millis(100);
 
 #[test]
-fn few_gateways_follow_every_hub_and_tell_the_leader_the_demand() {
-    let choice = choice(1, 6);
-    assert_eq!(primary(&choice, NOW), Some(hub(0)));
-    assert_eq!(with_role(&choice, NOW, HubRole::Followed).len(), 5);
+fn few_gateways_follow_all_hubs_with_leader_as_primary() {
+    let selector = selector(1, 6);
+    assert_eq!(primary(&selector, NOW), Some(hub(0)));
+    assert_eq!(with_role(&selector, NOW, HubRole::Followed).len(), 5);
 }
 
 #[test]
-fn many_gateways_follow_the_nearest_hub_and_one_elsewhere() {
+fn many_gateways_follow_nearest_hub_and_one_elsewhere() {
     for seed in 0..50 {
-        let choice = choice(seed, 80);
-        let first = primary(&choice, NOW).unwrap();
-        assert!([hub(1), hub(4)].contains(&first), "{first} is not near");
-        let second = with_role(&choice, NOW, HubRole::Followed);
+        let selector = selector(seed, 80);
+        let first = primary(&selector, NOW).unwrap();
+        assert!(
+            [hub(1), hub(4)].contains(&first),
+            "{first} is not in the local data centre"
+        );
+        let second = with_role(&selector, NOW, HubRole::Followed);
         assert_eq!(second.len(), 1);
         assert!(![hub(1), hub(4)].contains(&second[0]));
     }
@@ -64,7 +68,7 @@
 fn gateways_spread_over_the_hubs_of_their_data_centre() {
     let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for seed in 0..100 {
-        let first = primary(&choice(seed, 100), NOW).unwrap();
+        let first = primary(&selector(seed, 100), NOW).unwrap();
         *counts.entry(first).or_default() += 1;
     }
     assert_eq!(counts.len(), 2);
@@ -72,71 +76,77 @@
 }
 
 #[test]
-fn a_hub_that_does_not_answer_is_replaced_until_it_does() {
-    let mut choice = choice(1, 80);
-    let first = primary(&choice, NOW).unwrap();
-    choice.fail(NOW, first);
-    let next = primary(&choice, NOW).unwrap();
+fn failed_hub_is_replaced_until_it_answers() {
+    let mut selector = selector(1, 80);
+    let first = primary(&selector, NOW).unwrap();
+    selector.record_failure(NOW, first);
+    let next = primary(&selector, NOW).unwrap();
     assert_ne!(next, first);
-    assert_eq!(choice.role(NOW, first), HubRole::Probed);
+    assert_eq!(selector.role(NOW, first), HubRole::Probed);
     let later = Time::from_millis(700);
-    choice.hear(later, first, fact("b", false));
-    assert_eq!(primary(&choice, later), Some(first));
+    selector.record_answer(later, first, status("b", false));
+    assert_eq!(primary(&selector, later), Some(first));
 }
 
 #[test]
-fn a_hub_out_of_touch_with_the_log_is_left_for_another() {
-    let mut choice = choice(1, 80);
-    let first = primary(&choice, NOW).unwrap();
-    let late = HubFact {
+fn hub_without_quorum_is_replaced() {
+    let mut selector = selector(1, 80);
+    let first = primary(&selector, NOW).unwrap();
+    let stale = HubStatus {
         age: Duration::from_secs(2),
-        ..fact("b", false)
+        ..status("b", false)
     };
-    choice.hear(NOW, first, late);
-    assert_ne!(primary(&choice, NOW), Some(first));
+    selector.record_answer(NOW, first, stale);
+    assert_ne!(primary(&selector, NOW), Some(first));
 }
 
 #[test]
-fn a_hub_that_is_to_be_followed_instead_is_told_of_at_once() {
-    let mut choice = choice(1, 80);
-    assert!(choice.has_changed(NOW));
-    assert!(!choice.has_changed(NOW));
-    let first = primary(&choice, NOW).unwrap();
-    let late = HubFact {
+fn change_of_selected_hubs_is_reported_once() {
+    let mut selector = selector(1, 80);
+    assert!(selector.has_changed(NOW));
+    assert!(!selector.has_changed(NOW));
+    let first = primary(&selector, NOW).unwrap();
+    let stale = HubStatus {
         age: Duration::from_secs(2),
-        ..fact("b", false)
+        ..status("b", false)
     };
-    choice.hear(NOW, first, late);
-    assert!(choice.has_changed(NOW), "a probe may be seconds away");
-    choice.fail(NOW, first);
-    assert!(!choice.has_changed(NOW), "it was not followed any more");
+    selector.record_answer(NOW, first, stale);
+    assert!(
+        selector.has_changed(NOW),
+        "the new hub needs a report before its next probe, which may be seconds away"
+    );
+    selector.record_failure(NOW, first);
+    assert!(
+        !selector.has_changed(NOW),
+        "the failed hub was no longer selected"
+    );
 }
 
 #[test]
-fn a_hub_out_of_touch_is_followed_when_there_is_no_other() {
-    let mut choice = choice(1, 80);
-    let first = primary(&choice, NOW).unwrap();
-    let late = HubFact {
+fn hub_without_quorum_is_followed_if_there_is_no_other() {
+    let mut selector = selector(1, 80);
+    let first = primary(&selector, NOW).unwrap();
+    let stale = HubStatus {
         age: Duration::from_mins(1),
-        ..fact("b", false)
+        ..status("b", false)
     };
-    choice.hear(NOW, first, late);
-    for other in choice.hubs().filter(|h| *h != first).collect::<Vec<_>>() {
-        choice.fail(NOW, other);
+    selector.record_answer(NOW, first, stale);
+    for other in selector.hubs().filter(|h| *h != first).collect::<Vec<_>>() {
+        selector.record_failure(NOW, other);
     }
-    assert_eq!(primary(&choice, NOW), Some(first));
+    assert_eq!(primary(&selector, NOW), Some(first));
 }
 
 #[test]
 fn reports_to_one_hub_do_not_grow_with_the_gateways() {
     let reports = |gateways: u32| {
-        let choice = choice(1, gateways);
-        let followed = with_role(&choice, NOW, HubRole::Followed).len() + 1;
+        let selector = selector(1, gateways);
+        let followed = with_role(&selector, NOW, HubRole::Followed).len() + 1;
         let followed = f64::from(u32::try_from(followed).unwrap());
-        f64::from(gateways) * followed / 6.0 / choice.pause().as_secs_f64()
+        f64::from(gateways) * followed / 6.0 / selector.report_interval().as_secs_f64()
     };
     for gateways in [6, 16, 17, 80, 150] {
-        // A third of a core bears so many.
+        // A hub, which has a third of a core, can take this many reports.
         assert!(
             reports(gateways) <= 640.0,
             "{gateways}: {}",
@@ -147,20 +157,22 @@
 }
 
 #[test]
-fn only_hubs_that_are_no_seeds_are_forgotten() {
-    let mut choice = choice(1, 6);
+fn only_hubs_that_are_not_seeds_are_removed() {
+    let mut selector = selector(1, 6);
     let now = Time::from_millis(70_000);
     for number in 0..6 {
-        choice.fail(now, hub(number));
+        selector.record_failure(now, hub(number));
     }
-    let forgotten: Vec<bool> = (0..6).map(|n| choice.forget(now, hub(n))).collect();
-    assert_eq!(forgotten, [false, false, false, true, true, true]);
+    let removed: Vec<bool> = (0..6)
+        .map(|n| selector.remove_silent(now, hub(n)))
+        .collect();
+    assert_eq!(removed, [false, false, false, true, true, true]);
 }
 
 #[test]
-fn a_hub_that_never_answered_is_asked_soon() {
-    let mut choice = HubChoice::new(Name::from("a"), 1);
-    choice.add(Time::ZERO, hub(1), true);
-    assert_eq!(choice.role(Time::ZERO, hub(1)), HubRole::Probed);
-    assert!(choice.probe_pause(Time::ZERO, hub(1)) <= Duration::from_millis(500));
+fn hub_that_never_answered_is_probed_soon() {
+    let mut selector = HubSelector::new(Name::from("a"), 1);
+    selector.add(Time::ZERO, hub(1), true);
+    assert_eq!(selector.role(Time::ZERO, hub(1)), HubRole::Probed);
+    assert!(selector.probe_interval(Time::ZERO, hub(1)) <= Duration::from_millis(500));
 }
--- a/crates/sequoiawing_policy/tests/loader/world.rs
+++ b/crates/sequoiawing_policy/tests/loader/world.rs
@@ -1,4 +1,4 @@
-//! Engines, announcements and leaders under virtual time.
+//! Simulates engines, announcements and leaders in virtual time.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -18,21 +18,21 @@
 const MODELS: usize = 16;
 const CAPACITY: u64 = 200_000;
 const STEP: Duration = Duration::from_millis(10);
-const BEAT: Duration = Duration::from_millis(1_200);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// What goes wrong in a world.
+/// The faults that a simulation injects.
 #[expect(clippy::struct_excessive_bools, reason = "each is a fault of its own")]
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Faults {
-    /// Announcements come up to three seconds late.
+    /// Announcements arrive up to three seconds late.
     pub(crate) late: bool,
-    /// The part of answers to orders that is lost.
+    /// The fraction of replies to orders that are lost.
     pub(crate) lost: f64,
-    /// Orders without an answer are carried out seconds later.
+    /// Orders whose reply is lost are executed seconds later.
     pub(crate) delayed: bool,
-    /// Another leader takes over every few seconds.
+    /// The leader changes every few seconds.
     pub(crate) leaders: bool,
-    /// Engines start anew.
+    /// Engines restart.
     pub(crate) restarts: bool,
 }
 
@@ -41,39 +41,40 @@
     sequence: u64,
     loaded: BTreeSet<Name>,
     disk: BTreeSet<Name>,
-    /// The model that is loaded, from the store or not, and until when.
+    /// The model being loaded, whether it comes from the weight store, and the
+    /// completion time.
     loading: Option<(Name, bool, Time)>,
-    /// The model that is evicted, and until when.
+    /// The model being evicted and the completion time.
     evicting: Option<(Name, Time)>,
     accepted: u64,
-    next_beat: Time,
-    /// What a report shows, which is a little old.
-    shown: Vec<(Time, EngineReport)>,
+    next_announcement: Time,
+    /// Past states, from which reports are taken.
+    history: Vec<(Time, EngineReport)>,
 }
 
 enum Pending {
     Event(LoaderEvent),
-    /// An order that is carried out late, and nobody waits for.
+    /// An order that is executed late, with nobody waiting for the reply.
     Order(Name, OrderKind, u64),
 }
 
 pub(crate) struct World {
     pub(crate) now: Time,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
     pub(crate) store_loads: usize,
-    pub(crate) most_store_loads: usize,
-    /// Whether nobody asks for models at random.
-    pub(crate) is_quiet: bool,
+    pub(crate) peak_store_loads: usize,
+    /// Whether random requests are switched off.
+    pub(crate) is_idle: bool,
     faults: Faults,
     rng: ChaCha8Rng,
     catalog: Arc<Catalog>,
     engines: BTreeMap<Name, Engine>,
     loader: ModelLoader,
     pending: Vec<(Time, u64, Pending)>,
-    /// Counts leaders; what was sent to a former one is lost.
+    /// The term of the current leader. Replies to previous leaders are lost.
     term: u64,
-    heard: BTreeMap<Name, (u64, u64)>,
-    done: usize,
+    delivered: BTreeMap<Name, (u64, u64)>,
+    load_count: usize,
     next_leader: Time,
 }
 
@@ -117,10 +118,10 @@
         };
         let mut world = Self {
             now: Time::ZERO,
-            broken: Vec::new(),
+            violations: Vec::new(),
             store_loads: 0,
-            most_store_loads: 0,
-            is_quiet: false,
+            peak_store_loads: 0,
+            is_idle: false,
             faults,
             rng: ChaCha8Rng::seed_from_u64(seed),
             catalog: Arc::new(catalog),
@@ -128,8 +129,8 @@
             loader: ModelLoader::new(LoaderSettings::default()),
             pending: Vec::new(),
             term: 0,
-            heard: BTreeMap::new(),
-            done: 0,
+            delivered: BTreeMap::new(),
+            load_count: 0,
             next_leader: Time::from_millis(5_000),
         };
         for i in 0..ENGINES {
@@ -143,36 +144,36 @@
                 loading: None,
                 evicting: None,
                 accepted: 0,
-                next_beat: Time::ZERO,
-                shown: Vec::new(),
+                next_announcement: Time::ZERO,
+                history: Vec::new(),
             };
             world.engines.insert(Name::from(format!("e{i}")), engine);
         }
-        world.lead();
+        world.change_leader();
         world
     }
 
-    fn lead(&mut self) {
+    fn change_leader(&mut self) {
         self.term += 1;
         self.loader = ModelLoader::new(LoaderSettings::default());
-        self.tell(LoaderEvent::Catalog(self.catalog.clone()));
+        self.handle(LoaderEvent::Catalog(self.catalog.clone()));
         self.pending.retain(|(_, _, p)| {
             let is_answer = matches!(
                 p,
-                Pending::Event(LoaderEvent::Ordered { .. } | LoaderEvent::Reported { .. })
+                Pending::Event(LoaderEvent::OrderAnswered { .. } | LoaderEvent::Reported { .. })
             );
             !is_answer
         });
-        self.heard.clear();
+        self.delivered.clear();
     }
 
-    pub(crate) fn forget_disks(&mut self) {
+    pub(crate) fn clear_disks(&mut self) {
         for engine in self.engines.values_mut() {
             engine.disk = engine.loaded.clone();
         }
     }
 
-    /// Gives all models adapters of that size.
+    /// Gives all models adapters of this size in megabytes.
     pub(crate) fn set_adapters(&mut self, weights: u64) {
         let mut catalog = Catalog::clone(&self.catalog);
         catalog.version += 1;
@@ -182,45 +183,45 @@
             model.adapter_weights = weights;
         }
         self.catalog = Arc::new(catalog);
-        self.tell(LoaderEvent::Catalog(self.catalog.clone()));
+        self.handle(LoaderEvent::Catalog(self.catalog.clone()));
     }
 
-    /// Returns the number of models that are loaded somewhere.
-    pub(crate) fn distinct(&self) -> usize {
+    /// Returns the number of models that are loaded on at least one engine.
+    pub(crate) fn loaded_models(&self) -> usize {
         (0..MODELS).filter(|m| self.is_loaded(&model(*m))).count()
     }
 
-    /// Returns the least memory that an engine has free.
+    /// Returns the free memory of the fullest engine, in megabytes.
     pub(crate) fn least_free(&self) -> u64 {
         let used = |e: &Engine| -> u64 { e.loaded.iter().map(size).sum() };
         let free = self.engines.values().map(|e| CAPACITY - used(e));
-        free.min().expect("there are engines")
+        free.min().expect("the world has engines")
     }
 
     pub(crate) fn loads(&self) -> usize {
-        self.done
+        self.load_count
     }
 
-    pub(crate) fn copies(&self, model: &Name) -> usize {
+    pub(crate) fn replicas(&self, model: &Name) -> usize {
         let engines = self.engines.values();
         engines.filter(|e| e.loaded.contains(model)).count()
     }
 
     pub(crate) fn is_loaded(&self, model: &Name) -> bool {
-        self.copies(model) > 0
+        self.replicas(model) > 0
     }
 
-    /// Returns a model that no engine holds and some disk has.
-    pub(crate) fn unloaded_with_copy(&self) -> Name {
+    /// Returns a model that no engine holds but that is on a disk.
+    pub(crate) fn unloaded_on_disk(&self) -> Name {
         let on_disk = |m: &Name| self.engines.values().any(|e| e.disk.contains(m));
         let mut models = (0..MODELS).map(model);
         let found = models.find(|m| !self.is_loaded(m) && on_disk(m));
-        found.expect("the disks hold more than the memory")
+        found.expect("some model is on disk only")
     }
 
-    pub(crate) fn ask(&mut self, model: &Name, asked: u64) {
+    pub(crate) fn request(&mut self, model: &Name, asked: u64) {
         let missed = if self.is_loaded(model) { 0 } else { asked };
-        self.tell(LoaderEvent::Demand {
+        self.handle(LoaderEvent::Demand {
             pool: pool(),
             model: model.clone(),
             adapter: None,
@@ -230,8 +231,8 @@
         });
     }
 
-    pub(crate) fn crowd(&mut self, model: &Name) {
-        self.tell(LoaderEvent::Demand {
+    pub(crate) fn saturate(&mut self, model: &Name) {
+        self.handle(LoaderEvent::Demand {
             pool: pool(),
             model: model.clone(),
             adapter: None,
@@ -242,41 +243,41 @@
     }
 
     pub(crate) fn miss(&mut self, model: &Name) {
-        self.ask(model, 1);
+        self.request(model, 1);
     }
 
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + STEP;
-            self.ask_at_random();
+            self.request_at_random();
             self.advance_engines();
             self.deliver();
             if self.faults.leaders && self.now >= self.next_leader {
                 self.next_leader =
                     self.now + Duration::from_millis(self.rng.random_range(2_000..7_000));
-                self.lead();
+                self.change_leader();
             }
-            self.tell(LoaderEvent::Tick);
+            self.handle(LoaderEvent::Tick);
         }
     }
 
-    fn ask_at_random(&mut self) {
-        if !self.is_quiet && self.rng.random::<f64>() < 0.1 {
+    fn request_at_random(&mut self) {
+        if !self.is_idle && self.rng.random::<f64>() < 0.1 {
             let skewed = self.rng.random::<f64>() * self.rng.random::<f64>();
             let pick = (skewed * 16.0).floor();
             let found = (0..MODELS).find(|i| f64::from(u32::try_from(*i).unwrap_or(0)) >= pick);
             let asked = model(found.unwrap_or(0));
-            self.ask(&asked, 1);
+            self.request(&asked, 1);
         }
     }
 
-    fn tell(&mut self, event: LoaderEvent) {
+    fn handle(&mut self, event: LoaderEvent) {
         let mut out = Vec::new();
         self.loader.handle(self.now, event, &mut out);
         for action in out {
             match action {
-                LoaderAction::Report(engine) => self.report(engine),
+                LoaderAction::QueryState(engine) => self.report(engine),
                 LoaderAction::Order {
                     engine,
                     kind,
@@ -286,43 +287,43 @@
         }
     }
 
-    fn later(&mut self, millis: u64, pending: Pending) {
+    fn schedule(&mut self, millis: u64, pending: Pending) {
         let at = self.now + Duration::from_millis(millis);
         self.pending.push((at, self.term, pending));
     }
 
-    /// A report shows the state of some hundred milliseconds ago.
+    /// Sends a report of a state that is up to 300 ms old.
     fn report(&mut self, name: Name) {
         let age = Duration::from_millis(self.rng.random_range(0..300));
         let engine = &self.engines[&name];
-        let seen = engine.shown.iter().rev();
+        let seen = engine.history.iter().rev();
         let mut seen = seen.filter(|(at, _)| self.now.since(*at) >= age);
         let report = seen.next().map(|(_, report)| report.clone());
         let event = LoaderEvent::Reported {
             engine: name,
             report,
         };
-        self.later(10, Pending::Event(event));
+        self.schedule(10, Pending::Event(event));
     }
 
     fn order(&mut self, name: Name, kind: OrderKind, expected: u64) {
         let is_lost = self.rng.random::<f64>() < self.faults.lost;
         if is_lost && self.faults.delayed {
             let wait = self.rng.random_range(500..4_000);
-            self.later(wait, Pending::Order(name.clone(), kind, expected));
-            self.answer(name, EngineReply::Unknown);
+            self.schedule(wait, Pending::Order(name.clone(), kind, expected));
+            self.reply(name, EngineReply::Unknown);
             return;
         }
-        let reply = self.carry_out(&name, &kind, expected);
-        self.answer(name, if is_lost { EngineReply::Unknown } else { reply });
+        let reply = self.execute(&name, &kind, expected);
+        self.reply(name, if is_lost { EngineReply::Unknown } else { reply });
     }
 
-    fn answer(&mut self, engine: Name, reply: EngineReply) {
-        let event = LoaderEvent::Ordered { engine, reply };
-        self.later(10, Pending::Event(event));
+    fn reply(&mut self, engine: Name, reply: EngineReply) {
+        let event = LoaderEvent::OrderAnswered { engine, reply };
+        self.schedule(10, Pending::Event(event));
     }
 
-    fn carry_out(&mut self, name: &Name, kind: &OrderKind, expected: u64) -> EngineReply {
+    fn execute(&mut self, name: &Name, kind: &OrderKind, expected: u64) -> EngineReply {
         let now = self.now;
         let loading: usize = self
             .engines
@@ -343,27 +344,28 @@
                 let used: u64 = engine.loaded.iter().map(size).sum();
                 if used + size(model) > CAPACITY {
                     let held: Vec<&str> = engine.loaded.iter().map(Name::as_str).collect();
-                    self.broken
-                        .push(format!("{now} {name}: {model} beside {held:?}"));
+                    self.violations.push(format!(
+                        "{now} {name}: {model} does not fit beside {held:?}"
+                    ));
                 }
                 let from_store = !engine.disk.contains(model);
-                let takes = if from_store { 6_000 } else { 490 };
+                let duration = if from_store { 6_000 } else { 490 };
                 engine.loading = Some((
                     model.clone(),
                     from_store,
-                    now + Duration::from_millis(takes),
+                    now + Duration::from_millis(duration),
                 ));
                 self.store_loads += usize::from(from_store);
-                self.most_store_loads =
-                    self.most_store_loads.max(loading + usize::from(from_store));
-                self.done += 1;
+                self.peak_store_loads =
+                    self.peak_store_loads.max(loading + usize::from(from_store));
+                self.load_count += 1;
             }
             OrderKind::Unload { model } => {
                 if !engine.loaded.contains(model) {
                     return EngineReply::Holds;
                 }
-                let takes = self.rng.random_range(0..600);
-                engine.evicting = Some((model.clone(), now + Duration::from_millis(takes)));
+                let duration = self.rng.random_range(0..600);
+                engine.evicting = Some((model.clone(), now + Duration::from_millis(duration)));
             }
             _ => return EngineReply::Rejected,
         }
@@ -383,9 +385,9 @@
                 engine.restart();
             }
             let has_changed = engine.advance(now);
-            engine.show(now);
-            if has_changed || now >= engine.next_beat {
-                engine.next_beat = now + BEAT;
+            engine.record_state(now);
+            if has_changed || now >= engine.next_announcement {
+                engine.next_announcement = now + ANNOUNCE_INTERVAL;
                 engine.sequence += 1;
                 let state = engine.announcement(&name);
                 let late = if self.faults.late {
@@ -393,7 +395,7 @@
                 } else {
                     self.rng.random_range(0..20)
                 };
-                self.later(late, Pending::Event(LoaderEvent::Upstream(Arc::new(state))));
+                self.schedule(late, Pending::Event(LoaderEvent::Upstream(Arc::new(state))));
             }
         }
     }
@@ -407,27 +409,28 @@
         for (_, _, pending) in due {
             match pending {
                 Pending::Order(name, kind, expected) => {
-                    self.carry_out(&name, &kind, expected);
+                    self.execute(&name, &kind, expected);
                 }
                 Pending::Event(LoaderEvent::Upstream(state)) => self.announce(state),
-                Pending::Event(event) => self.tell(event),
+                Pending::Event(event) => self.handle(event),
             }
         }
     }
 
-    /// Passes an announcement on as a roster does: never an older one.
+    /// Delivers an announcement unless a newer one was delivered before, as a
+    /// roster does.
     fn announce(&mut self, state: Arc<UpstreamState>) {
-        let heard = self.heard.entry(state.name.clone()).or_default();
-        if state.version() > *heard {
-            *heard = state.version();
-            self.tell(LoaderEvent::Upstream(state));
+        let delivered = self.delivered.entry(state.name.clone()).or_default();
+        if state.version() > *delivered {
+            *delivered = state.version();
+            self.handle(LoaderEvent::Upstream(state));
         }
     }
 }
 
 fn size(model: &Name) -> u64 {
     let number = model.as_str().trim_start_matches('m').parse();
-    weights(number.expect("models are numbered"))
+    weights(number.expect("model names end in a number"))
 }
 
 impl Engine {
@@ -448,7 +451,7 @@
         self.loading = None;
         self.evicting = None;
         self.accepted = 0;
-        self.shown.clear();
+        self.history.clear();
     }
 
     fn advance(&mut self, now: Time) -> bool {
@@ -470,15 +473,15 @@
         false
     }
 
-    fn show(&mut self, now: Time) {
+    fn record_state(&mut self, now: Time) {
         let report = EngineReport {
             busy: self.is_busy(),
             accepted: self.accepted,
             loaded: self.loaded.iter().cloned().collect(),
             adapters: Vec::new(),
         };
-        self.shown.push((now, report));
-        self.shown
+        self.history.push((now, report));
+        self.history
             .retain(|(at, _)| now.since(*at) <= Duration::from_millis(400));
     }
 
--- a/crates/sequoiawing_policy/tests/shared_bucket.rs
+++ b/crates/sequoiawing_policy/tests/shared_bucket.rs
@@ -1,55 +1,55 @@
-//! A customer's rate over several hosts that hear of each other late.
+//! Tests a customer limit that several hosts share by delayed updates.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sequoiawing_policy::serving::{RateView, RetryLimits, RetryWindow, SharedRate};
+use sequoiawing_policy::serving::{PeerView, RetryLimits, RetryWindow, SharedTokenBucket};
 use sequoiawing_types::Time;
 use std::{collections::VecDeque, time::Duration};
 
 const RATE: u64 = 98_000;
 const BURST: u64 = 98_000;
-/// The tokens of a usual request.
+/// The tokens of a regular request.
 const COST: u64 = 716;
-/// The tokens of a large request, and how many requests are large.
+/// The tokens of a large request, and the fraction of large requests.
 const LARGE: u64 = 9_190;
 const LARGE_PART: f64 = 0.03;
 const HOSTS: usize = 6;
-/// How long hosts take to hear of each other.
+/// The interval between updates of a host.
 const INTERVAL: Duration = Duration::from_millis(250);
-/// The window in which use is judged.
+/// The window over which use is checked against the limit.
 const WINDOW: Duration = Duration::from_secs(8);
 const STEP: Duration = Duration::from_millis(1);
 
-fn view(is_cut_off: bool, missing: u32) -> RateView {
-    let hosts = u32::try_from(HOSTS).expect("a few");
-    RateView {
+fn view(is_isolated: bool, missing: u32) -> PeerView {
+    let hosts = u32::try_from(HOSTS).expect("the number of hosts is small");
+    PeerView {
         hosts,
         missing,
-        is_cut_off,
+        is_isolated,
     }
 }
 
 struct Run {
-    /// When what was admitted.
+    /// The times and units of admitted requests within the window.
     admitted: VecDeque<(Time, u64)>,
-    most: u64,
+    peak: u64,
     total: u64,
     refused: u64,
-    /// The large requests that were admitted and refused.
+    /// The numbers of admitted and refused large requests.
     large: [u64; 2],
 }
 
-/// Lets hosts admit `times` the rate for 20 seconds, some of them cut off in
-/// the second half, and returns the most that was used in a window.
-fn run(seed: u64, times: f64, cut: usize) -> Run {
+/// Simulates requests at `times` the rate for 20 seconds. In the second half,
+/// `isolated` hosts are partitioned from the others.
+fn run(seed: u64, times: f64, isolated: usize) -> Run {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut rates: Vec<SharedRate> = (0..HOSTS)
-        .map(|_| SharedRate::new(Time::ZERO, RATE, BURST))
+    let mut buckets: Vec<SharedTokenBucket> = (0..HOSTS)
+        .map(|_| SharedTokenBucket::new(Time::ZERO, RATE, BURST))
         .collect();
-    let mut told = [0; HOSTS];
+    let mut reported = [0; HOSTS];
     let mut run = Run {
         admitted: VecDeque::new(),
-        most: 0,
+        peak: 0,
         total: 0,
         refused: 0,
         large: [0; 2],
@@ -57,20 +57,23 @@
     let mut now = Time::ZERO;
     let mean = 716.0 + LARGE_PART * (9_190.0 - 716.0);
     let chance = times * 98_000.0 / mean / 1_000.0;
-    let cut_at = Time::from_millis(10_000);
+    let isolated_at = Time::from_millis(10_000);
     while now < Time::from_millis(20_000) {
         now = now + STEP;
-        let is_cut = |host: usize| now >= cut_at && host < cut;
-        // A quarter of the hosts gets half of the requests.
+        let is_isolated = |host: usize| now >= isolated_at && host < isolated;
+        // Two of the six hosts get half of the requests.
         let mut due = chance;
         while due > 0.0 && rng.random::<f64>() < due {
             due -= 1.0;
             let host = rng.random_range(0..HOSTS * 2) % (HOSTS + 2) % HOSTS;
-            let missing = if now >= cut_at { cut } else { 0 };
-            let view = view(is_cut(host), u32::try_from(missing).expect("a few"));
+            let missing = if now >= isolated_at { isolated } else { 0 };
+            let view = view(
+                is_isolated(host),
+                u32::try_from(missing).expect("the number of hosts is small"),
+            );
             let is_large = rng.random::<f64>() < LARGE_PART;
             let cost = if is_large { LARGE } else { COST };
-            let is_admitted = rates[host].admit(now, cost, view).is_ok();
+            let is_admitted = buckets[host].admit(now, cost, view).is_ok();
             if is_admitted {
                 run.admitted.push_back((now, cost));
                 run.total += cost;
@@ -82,16 +85,21 @@
             }
         }
         for host in 0..HOSTS {
-            let offset = Duration::from_millis(37 * u64::try_from(host).expect("a few"));
+            let offset = Duration::from_millis(
+                37 * u64::try_from(host).expect("the number of hosts is small"),
+            );
             let since = now.since(Time::ZERO + offset).as_millis();
-            if is_cut(host) || !since.is_multiple_of(INTERVAL.as_millis()) {
+            if is_isolated(host) || !since.is_multiple_of(INTERVAL.as_millis()) {
                 continue;
             }
-            told[host] = rates[host].used();
-            let total = told.iter().sum();
-            let missing = if now >= cut_at { cut } else { 0 };
-            let view = view(false, u32::try_from(missing).expect("a few"));
-            rates[host].hear(now, total, told[host], false, view);
+            reported[host] = buckets[host].used();
+            let total = reported.iter().sum();
+            let missing = if now >= isolated_at { isolated } else { 0 };
+            let view = view(
+                false,
+                u32::try_from(missing).expect("the number of hosts is small"),
+            );
+            buckets[host].apply_update(now, total, reported[host], false, view);
         }
         while run
             .admitted
@@ -100,39 +108,39 @@
         {
             run.admitted.pop_front();
         }
-        run.most = run
-            .most
+        run.peak = run
+            .peak
             .max(run.admitted.iter().map(|(_, units)| units).sum());
     }
     run
 }
 
-/// What the platform's rule allows in a window.
-fn bound() -> u64 {
+/// The units that the platform tolerates in a window.
+fn limit() -> u64 {
     (RATE * WINDOW.as_secs() + BURST) * 11 / 10 + 110_000
 }
 
-macro_rules! hot {
-    ($($name:ident: $times:literal, $cut:literal;)*) => {$(
+macro_rules! overload {
+    ($($name:ident: $times:literal, $isolated:literal;)*) => {$(
         #[test]
         fn $name() {
             for seed in 0..8 {
-                let run = run(seed, $times, $cut);
-                assert!(run.most <= bound(), "seed {seed}: {} of {}", run.most, bound());
+                let run = run(seed, $times, $isolated);
+                assert!(run.peak <= limit(), "seed {seed}: {} of {}", run.peak, limit());
             }
         }
     )*};
 }
 
-hot! {
-    a_hot_customer_keeps_to_the_bound: 4.2, 0;
-    a_very_hot_customer_keeps_to_it: 12.0, 0;
-    so_it_does_when_half_of_the_hosts_are_cut_off: 4.2, 3;
-    so_it_does_when_one_host_is_cut_off: 4.2, 1;
+overload! {
+    overload_stays_within_limit: 4.2, 0;
+    heavy_overload_stays_within_limit: 12.0, 0;
+    overload_stays_within_limit_with_half_of_hosts_isolated: 4.2, 3;
+    overload_stays_within_limit_with_one_host_isolated: 4.2, 1;
 }
 
 #[test]
-fn a_customer_within_its_rate_is_not_refused() {
+fn customer_within_rate_is_not_refused() {
     for seed in 0..8 {
         let run = run(seed, 0.55, 0);
         assert_eq!(run.refused, 0, "seed {seed}");
@@ -150,57 +158,64 @@
 }
 
 #[test]
-fn what_a_hot_customer_may_use_is_used() {
+fn overload_uses_most_of_the_rate() {
     let run = run(1, 4.2, 0);
     assert!(run.total >= RATE * 20 * 9 / 10, "{}", run.total);
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
-    let mut rate = SharedRate::new(Time::ZERO, 10, 1_000);
+fn refund_restores_credit() {
+    let mut bucket = SharedTokenBucket::new(Time::ZERO, 10, 1_000);
     let view = view(false, 0);
-    rate.admit(Time::ZERO, 1_000, view)
+    bucket
+        .admit(Time::ZERO, 1_000, view)
         .expect("the bucket is full");
-    rate.admit(Time::ZERO, 1_000, view)
-        .expect_err("it is empty");
-    rate.give_back(1_000);
-    rate.admit(Time::ZERO, 1_000, view)
-        .expect("it was given back");
-    assert_eq!(rate.used(), 1_000, "the count of use never falls");
+    bucket
+        .admit(Time::ZERO, 1_000, view)
+        .expect_err("the bucket is empty");
+    bucket.refund(1_000);
+    bucket
+        .admit(Time::ZERO, 1_000, view)
+        .expect("the credit was refunded");
+    assert_eq!(
+        bucket.used(),
+        1_000,
+        "the count of used units never decreases"
+    );
 }
 
 #[test]
-fn repeats_are_a_part_of_requests_and_a_share_of_the_slack() {
+fn retries_stay_within_ratio_and_slack() {
     let limits = RetryLimits {
         ratio: 200,
         slack: 52,
         window: Duration::from_secs(10),
     };
-    let mut repeats = 0;
+    let mut retries = 0;
     for _ in 0..HOSTS {
         let mut window = RetryWindow::default();
         let mut now = Time::ZERO;
         for _ in 0..100 {
             now = now + Duration::from_millis(50);
-            window.note_request(now, &limits);
-            repeats += u64::from(window.take(now, &limits, 6));
+            window.record_request(now, &limits);
+            retries += u64::from(window.try_retry(now, &limits, 6));
         }
     }
     assert!(
-        repeats > 0 && repeats <= 600 * 200 / 1_000 + 52,
-        "{repeats}"
+        retries > 0 && retries <= 600 * 200 / 1_000 + 52,
+        "{retries}"
     );
 }
 
 #[test]
-fn repeats_are_allowed_again_when_the_window_has_passed() {
+fn retries_are_allowed_again_after_the_window() {
     let limits = RetryLimits {
         ratio: 0,
         slack: 4,
         window: Duration::from_secs(10),
     };
     let mut window = RetryWindow::default();
-    while window.take(Time::ZERO, &limits, 1) {}
-    assert!(!window.take(Time::from_millis(9_000), &limits, 1));
-    assert!(window.take(Time::from_millis(10_000), &limits, 1));
+    while window.try_retry(Time::ZERO, &limits, 1) {}
+    assert!(!window.try_retry(Time::from_millis(9_000), &limits, 1));
+    assert!(window.try_retry(Time::from_millis(10_000), &limits, 1));
 }
