--- a/crates/sequoiawing_bench/src/policies.rs
+++ b/crates/sequoiawing_bench/src/policies.rs
@@ -1,7 +1,7 @@
 use sequoiawing_policy::{
-    AffinityChoice, ChooseUpstream, FairDeadline, FairTokens, FirstAsked, FirstCome, FirstFit,
+    AffinityChoice, ChooseUpstream, FairDeadline, FairQueueing, Fifo, FirstAsked, FirstFit,
     FixedKeepAlive, IdleSettings, LearnedKeepAlive, LeastLoad, LeastRecent, OnePerQueue,
-    PlacePolicies, ShareService,
+    PlacePolicies, QueueDiscipline,
 };
 use std::time::Duration;
 
@@ -69,10 +69,10 @@
         }
     }
 
-    pub(crate) fn share(self) -> Box<dyn ShareService> {
+    pub(crate) fn share(self) -> Box<dyn QueueDiscipline> {
         match self {
-            Self::FirstCome | Self::NoFairness => Box::new(FirstCome::default()),
-            _ => Box::new(FairTokens::default()),
+            Self::FirstCome | Self::NoFairness => Box::new(Fifo::default()),
+            _ => Box::new(FairQueueing::default()),
         }
     }
 
--- a/crates/sequoiawing_bench/src/world/requests.rs
+++ b/crates/sequoiawing_bench/src/world/requests.rs
@@ -5,7 +5,7 @@
     fakes::FakeRunner,
     world::{ColdLoad, ColdRequest, Fate, state::ATTEMPTS},
 };
-use sequoiawing_policy::{DispatchAction, DispatchEvent, Work};
+use sequoiawing_policy::{DispatchAction, DispatchEvent, DispatchRequest};
 use sequoiawing_types::Name;
 
 impl World {
@@ -103,7 +103,7 @@
         let weight = customers.filter(|c| c.name == request.customer);
         let weight = weight.map(|c| c.weight).next().unwrap_or(1);
         let attempt = u64::from(self.outcomes[i].attempts).min(ATTEMPTS - 1);
-        let work = Work {
+        let work = DispatchRequest {
             id: i as u64 * ATTEMPTS + attempt,
             customer: request.customer.clone(),
             weight,
@@ -133,7 +133,7 @@
                         self.outcomes[i].fate = Fate::Refused(reason);
                     }
                 }
-                DispatchAction::Ask(demand) => self.ask(router, &demand),
+                DispatchAction::SendDemand(demand) => self.ask(router, &demand),
             }
         }
     }
--- a/crates/sequoiawing_bench/src/world/run.rs
+++ b/crates/sequoiawing_bench/src/world/run.rs
@@ -139,7 +139,7 @@
                 state,
             } => {
                 let model = target;
-                self.tell_router(router, DispatchEvent::Decided { model, state });
+                self.tell_router(router, DispatchEvent::DemandAnswered { model, state });
             }
             Event::Allot {
                 centre,
--- a/crates/sequoiawing_bench/src/world/state.rs
+++ b/crates/sequoiawing_bench/src/world/state.rs
@@ -241,13 +241,13 @@
             host: Name::from(format!("entry-{}", i + 1)),
             centre: centre_name.clone(),
             pool: self.deployment.pool.name.clone(),
-            roam: self.policy.roams(),
+            cross_centre: self.policy.roams(),
             ..DispatchSettings::default()
         };
         let seed = self.settings.seed * 1_000 + i as u64;
         let dispatcher = Dispatcher::new(settings)
             .with_choice(self.policy.choice(seed))
-            .with_share(self.policy.share());
+            .with_discipline(self.policy.share());
         Router {
             centre: centre.unwrap_or(0),
             dispatcher,
--- a/crates/sequoiawing_policy/src/choice/affinity.rs
+++ b/crates/sequoiawing_policy/src/choice/affinity.rs
@@ -1,26 +1,27 @@
-use crate::{Candidate, ChooseUpstream, Work};
+use crate::{Candidate, ChooseUpstream, DispatchRequest};
 
-/// The share of its slots up to which an upstream with the cached prompt is
-/// preferred, in percent. Beyond it, waiting costs more than the cache saves.
-const BUSY_PERCENT: u64 = 75;
+/// The utilisation below which an upstream with the cached prompt prefix is
+/// preferred, in percent of its slots. Above it, the time spent waiting exceeds
+/// the time that the cache saves.
+const MAX_CACHE_LOAD_PERCENT: u64 = 75;
 
-/// Prefers the own data centre, then a cached prompt, then the better of two
-/// candidates drawn at random.
+/// Prefers the local data centre, then a cached prompt prefix, then the better
+/// of two randomly drawn candidates.
 ///
-/// Drawing two keeps many routers with the same stale reports from all choosing
-/// the same upstream.
+/// Drawing two candidates keeps routers with the same outdated reports from all
+/// choosing the same upstream.
 #[derive(Clone, Debug)]
 pub struct AffinityChoice {
     state: u64,
 }
 
 impl AffinityChoice {
-    /// Returns a choice whose draws follow from `seed` alone.
+    /// Creates a policy whose random draws depend only on `seed`.
     pub fn new(seed: u64) -> Self {
         Self { state: seed | 1 }
     }
 
-    /// Draws a number below `bound` by an xorshift generator.
+    /// Returns a pseudorandom number below `bound` from an xorshift generator.
     fn draw(&mut self, bound: usize) -> usize {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
@@ -47,21 +48,21 @@
 }
 
 impl ChooseUpstream for AffinityChoice {
-    fn choose(&mut self, _work: &Work, candidates: &[Candidate<'_>]) -> usize {
+    fn choose(&mut self, _request: &DispatchRequest, candidates: &[Candidate<'_>]) -> usize {
         let all = 0..candidates.len();
-        let local: Vec<usize> = all.clone().filter(|i| !candidates[*i].remote).collect();
-        let near = if local.is_empty() {
+        let local: Vec<usize> = all.clone().filter(|i| !candidates[*i].is_remote).collect();
+        let nearby = if local.is_empty() {
             all.collect()
         } else {
             local
         };
-        let is_idle = |c: &Candidate<'_>| {
+        let has_capacity = |c: &Candidate<'_>| {
             let slots = u64::from(c.state.slots.max(1));
-            c.failures == 0 && u64::from(c.load) * 100 < slots * BUSY_PERCENT
+            c.failures == 0 && u64::from(c.load) * 100 < slots * MAX_CACHE_LOAD_PERCENT
         };
-        let cached = near.iter().copied();
-        let cached = cached.filter(|i| candidates[*i].cached && is_idle(&candidates[*i]));
+        let cached = nearby.iter().copied();
+        let cached = cached.filter(|i| candidates[*i].is_cached && has_capacity(&candidates[*i]));
         let best = cached.min_by_key(|i| candidates[*i].cost());
-        best.unwrap_or_else(|| self.better_of_two(candidates, &near))
+        best.unwrap_or_else(|| self.better_of_two(candidates, &nearby))
     }
 }
--- a/crates/sequoiawing_policy/src/choice/least_load.rs
+++ b/crates/sequoiawing_policy/src/choice/least_load.rs
@@ -1,11 +1,11 @@
-use crate::{Candidate, ChooseUpstream, Work};
+use crate::{Candidate, ChooseUpstream, DispatchRequest};
 
-/// Chooses the upstream with the least estimated load for its slots.
+/// Chooses the upstream with the least estimated load per slot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoad;
 
 impl ChooseUpstream for LeastLoad {
-    fn choose(&mut self, _work: &Work, candidates: &[Candidate<'_>]) -> usize {
+    fn choose(&mut self, _request: &DispatchRequest, candidates: &[Candidate<'_>]) -> usize {
         let relative = |c: &Candidate<'_>| {
             let slots = u64::from(c.state.slots.max(1));
             (c.failures, u64::from(c.load) * 1_000 / slots)
--- a/crates/sequoiawing_policy/src/choice/mod.rs
+++ b/crates/sequoiawing_policy/src/choice/mod.rs
@@ -4,29 +4,30 @@
 pub use affinity::AffinityChoice;
 pub use least_load::LeastLoad;
 
-use crate::Work;
+use crate::DispatchRequest;
 use sequoiawing_fleet::UpstreamState;
 
-/// An upstream that could take a request now.
+/// An upstream that can take a request now.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its newest announcement.
+    /// The latest announcement of the upstream.
     pub state: &'a UpstreamState,
-    /// The requests that it is estimated to run, with our own since its
-    /// announcement.
+    /// The estimated number of running requests, including those that this
+    /// router sent since the announcement.
     pub load: u32,
-    /// How many of its last attempts failed in a row.
+    /// The number of consecutive failed attempts.
     pub failures: u32,
-    /// Whether it is in another data centre.
-    pub remote: bool,
-    /// Whether it probably has the beginning of the prompt in its cache.
-    pub cached: bool,
-    /// How long it takes for a token beside the pool's mean, in percent.
+    /// Whether the upstream is in another data centre.
+    pub is_remote: bool,
+    /// Whether the upstream probably has the prompt prefix in its cache.
+    pub is_cached: bool,
+    /// The mean time per token relative to the mean of the pool, in percent.
     pub slowness: u32,
 }
 
 impl Candidate<'_> {
-    /// Returns the expected wait beside other candidates, without a unit.
+    /// Returns the expected wait relative to other candidates, as a number
+    /// without unit.
     pub fn cost(&self) -> u64 {
         let slots = u64::from(self.state.slots.max(1));
         let load = u64::from(self.load) + 1;
@@ -34,10 +35,10 @@
     }
 }
 
-/// Chooses among the upstreams that could take a request.
+/// Chooses among the upstreams that can take a request.
 ///
 /// See [docs/design/choice.md](../../../docs/design/choice.md).
 pub trait ChooseUpstream: Send {
-    /// Returns the index of the chosen candidate; `candidates` is not empty.
-    fn choose(&mut self, work: &Work, candidates: &[Candidate<'_>]) -> usize;
+    /// Returns the index of the chosen candidate. `candidates` is never empty.
+    fn choose(&mut self, request: &DispatchRequest, candidates: &[Candidate<'_>]) -> usize;
 }
--- a/crates/sequoiawing_policy/src/discipline.rs
+++ b/crates/sequoiawing_policy/src/discipline.rs
@@ -1,38 +1,38 @@
-use crate::Work;
+use crate::DispatchRequest;
 use sequoiawing_types::Name;
 use std::collections::BTreeMap;
 
-/// Decides whose waiting request is served first.
+/// Determines the order in which queued requests are served.
 ///
 /// See [docs/design/fairness.md](../../../docs/design/fairness.md).
-pub trait ShareService: Send {
-    /// Returns where a request stands in its customer's queue; the least stands
-    /// first.
-    fn position(&mut self, work: &Work) -> u64;
+pub trait QueueDiscipline: Send {
+    /// Returns the position of a request in the queue of its customer; the
+    /// least is served first.
+    fn position(&mut self, request: &DispatchRequest) -> u64;
 
-    /// Returns where a customer's first request stands beside the first ones of
-    /// other customers; the least is served first.
+    /// Returns the rank of a customer among all customers, given the position
+    /// of its first request; the least is served first.
     fn rank(&self, customer: &Name, position: u64) -> u64;
 
-    /// Learns that a request is served.
-    fn served(&mut self, work: &Work);
+    /// Accounts for a request that is assigned to an upstream.
+    fn record_served(&mut self, request: &DispatchRequest);
 
-    /// Returns how far a customer is beyond its share: 0 for within, up to
-    /// [`MAX_PRIORITY`].
+    /// Returns the priority of a customer, from 0 for customers within their
+    /// share to [`MAX_PRIORITY`].
     fn priority(&self, customer: &Name) -> u32;
 }
 
-/// The priority of requests that engines serve last.
+/// The priority value of requests that engines serve last.
 pub const MAX_PRIORITY: u32 = 7;
 
-/// Serves requests in the order in which they came, whoever sent them.
+/// Serves requests in order of arrival, regardless of the customer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstCome {
+pub struct Fifo {
     arrivals: u64,
 }
 
-impl ShareService for FirstCome {
-    fn position(&mut self, _work: &Work) -> u64 {
+impl QueueDiscipline for Fifo {
+    fn position(&mut self, _request: &DispatchRequest) -> u64 {
         self.arrivals += 1;
         self.arrivals
     }
@@ -41,75 +41,80 @@
         position
     }
 
-    fn served(&mut self, _work: &Work) {}
+    fn record_served(&mut self, _request: &DispatchRequest) {}
 
     fn priority(&self, _customer: &Name) -> u32 {
         0
     }
 }
 
-/// The resolution of virtual time for each token.
+/// The virtual time units per token at weight 1.
 const TOKEN_SCALE: u64 = 1_024;
 
-/// The tokens beyond its share at which a customer's priority first drops.
+/// The excess over its share, in virtual time, at which the priority of a
+/// customer first drops.
 const PRIORITY_STEP: u64 = 4_096 * TOKEN_SCALE;
 
-/// The customers whose virtual time is kept at most; those behind are dropped,
-/// which costs them nothing.
+/// The maximum number of customers whose virtual time is kept. Beyond it,
+/// customers that are not ahead of the current virtual time are dropped, which
+/// does not affect their order.
 const MAX_CUSTOMERS: usize = 4_096;
 
-/// Shares service between customers by tokens and weight, and serves each
-/// customer's own requests by deadline.
+/// Divides service among customers by tokens and weight, and serves the
+/// requests of each customer by deadline.
 ///
-/// Start-time fair queueing: a customer's clock advances by the tokens that it
-/// is served, divided by its weight, and the customer whose clock is furthest
-/// behind is next. A customer that was idle starts at the clock of the last one
-/// served, so that nobody saves up service.
+/// Implements start-time fair queueing: the virtual time of a customer advances
+/// by the tokens that it is served, divided by its weight, and the customer
+/// with the least virtual time is served next. A customer that was idle resumes
+/// at the virtual time of the customer served last, so idle customers
+/// accumulate no credit.
 #[derive(Clone, Debug, Default)]
-pub struct FairTokens {
-    now: u64,
-    clocks: BTreeMap<Name, u64>,
+pub struct FairQueueing {
+    virtual_now: u64,
+    virtual_times: BTreeMap<Name, u64>,
 }
 
-impl FairTokens {
-    fn clock(&self, customer: &Name) -> u64 {
-        self.clocks
+impl FairQueueing {
+    fn virtual_time(&self, customer: &Name) -> u64 {
+        self.virtual_times
             .get(customer)
-            .map_or(self.now, |c| *c.max(&self.now))
+            .map_or(self.virtual_now, |t| *t.max(&self.virtual_now))
     }
 
-    fn forget_idle(&mut self) {
-        let now = self.now;
-        if self.clocks.len() > MAX_CUSTOMERS {
-            self.clocks.retain(|_, clock| *clock > now);
+    fn drop_idle(&mut self) {
+        let virtual_now = self.virtual_now;
+        if self.virtual_times.len() > MAX_CUSTOMERS {
+            self.virtual_times
+                .retain(|_, virtual_time| *virtual_time > virtual_now);
         }
     }
 }
 
-impl ShareService for FairTokens {
-    fn position(&mut self, work: &Work) -> u64 {
-        work.deadline.as_micros()
+impl QueueDiscipline for FairQueueing {
+    fn position(&mut self, request: &DispatchRequest) -> u64 {
+        request.deadline.as_micros()
     }
 
     fn rank(&self, customer: &Name, _position: u64) -> u64 {
-        self.clocks
+        self.virtual_times
             .get(customer)
             .copied()
-            .unwrap_or(self.now)
-            .max(self.now)
+            .unwrap_or(self.virtual_now)
+            .max(self.virtual_now)
     }
 
-    fn served(&mut self, work: &Work) {
-        let start = self.clock(&work.customer);
-        let weight = u64::from(work.weight.max(1));
-        let cost = work.tokens.max(1).saturating_mul(TOKEN_SCALE) / weight;
-        self.now = start;
-        self.clocks.insert(work.customer.clone(), start + cost);
-        self.forget_idle();
+    fn record_served(&mut self, request: &DispatchRequest) {
+        let start = self.virtual_time(&request.customer);
+        let weight = u64::from(request.weight.max(1));
+        let cost = request.tokens.max(1).saturating_mul(TOKEN_SCALE) / weight;
+        self.virtual_now = start;
+        self.virtual_times
+            .insert(request.customer.clone(), start + cost);
+        self.drop_idle();
     }
 
     fn priority(&self, customer: &Name) -> u32 {
-        let ahead = self.clock(customer) - self.now;
+        let ahead = self.virtual_time(customer) - self.virtual_now;
         let steps = (ahead / PRIORITY_STEP + 1).ilog2();
         steps.min(MAX_PRIORITY)
     }
--- a/crates/sequoiawing_policy/src/dispatch/demands.rs
+++ b/crates/sequoiawing_policy/src/dispatch/demands.rs
@@ -2,91 +2,101 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
-/// When a target was last asked for, and what the answer was.
+/// The last demand for a target and its answer.
 #[derive(Clone, Debug, Default)]
-struct Ask {
-    next: Time,
+struct DemandState {
+    due: Time,
     ready: Option<Time>,
     has_problem: bool,
-    /// Whether a replica is loaded or being loaded, by the last answer.
+    /// Whether a replica is loaded or being loaded, according to the last
+    /// answer.
     is_decided: bool,
-    /// Since when nothing has been decided.
-    undecided: Option<Time>,
-    /// The data centres that were asked in vain.
-    tries: usize,
+    /// Since when no decision has been made.
+    undecided_since: Option<Time>,
+    /// The number of data centres that were asked without success.
+    failed_centres: usize,
 }
 
-/// How long a data centre may decide nothing before the next is asked.
-const DECIDE_LIMIT: Duration = Duration::from_millis(500);
+/// How long a data centre may leave a demand undecided before the next one is
+/// asked.
+const DECISION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the cell leader was asked for, and how its decisions stand.
+/// The demands sent to cell leaders and the state of their decisions.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Asks {
-    targets: BTreeMap<Name, Ask>,
+pub(crate) struct Demands {
+    targets: BTreeMap<Name, DemandState>,
 }
 
-impl Asks {
-    /// Reports whether the target is to be asked for now, and notes that it is.
+impl Demands {
+    /// Returns whether a demand for the target is due. If it is, schedules the
+    /// next one.
     pub(crate) fn is_due(&mut self, now: Time, target: &Name, repeat: Duration) -> bool {
-        let ask = self.targets.entry(target.clone()).or_default();
-        if ask.next > now {
+        let demand = self.targets.entry(target.clone()).or_default();
+        if demand.due > now {
             return false;
         }
-        ask.next = now + repeat;
+        demand.due = now + repeat;
         true
     }
 
-    /// Returns how many data centres were asked for the target in vain, and
-    /// notes that one is asked now.
-    pub(crate) fn tries(&mut self, now: Time, target: &Name) -> usize {
-        let ask = self.targets.entry(target.clone()).or_default();
-        if !ask.is_decided {
-            let since = *ask.undecided.get_or_insert(now);
-            if now >= since + DECIDE_LIMIT {
-                ask.tries += 1;
-                ask.undecided = Some(now);
+    /// Returns how many data centres were asked for the target without success.
+    /// Counts the current one if it has left the demand undecided too long.
+    pub(crate) fn failed_centres(&mut self, now: Time, target: &Name) -> usize {
+        let demand = self.targets.entry(target.clone()).or_default();
+        if !demand.is_decided {
+            let since = *demand.undecided_since.get_or_insert(now);
+            if now >= since + DECISION_TIMEOUT {
+                demand.failed_centres += 1;
+                demand.undecided_since = Some(now);
             }
         }
-        ask.tries
+        demand.failed_centres
     }
 
-    /// Takes in an answer. A problem counts only when all of the `centres` have
-    /// told one.
-    pub(crate) fn decide(&mut self, now: Time, target: Name, state: &OrderState, centres: usize) {
-        let ask = self.targets.entry(target).or_default();
-        if state.problem.is_some() && ask.tries < centres {
-            ask.tries += 1;
-            ask.undecided = None;
-            ask.next = now;
+    /// Processes an answer. A problem is reported only after all of the
+    /// `centres` data centres have reported one.
+    pub(crate) fn process_answer(
+        &mut self,
+        now: Time,
+        target: Name,
+        state: &OrderState,
+        centres: usize,
+    ) {
+        let demand = self.targets.entry(target).or_default();
+        if state.problem.is_some() && demand.failed_centres < centres {
+            demand.failed_centres += 1;
+            demand.undecided_since = None;
+            demand.due = now;
             return;
         }
-        ask.is_decided = state.decided;
+        demand.is_decided = state.decided;
         if state.decided {
             // From now on the data centre that has the model ranks first.
-            ask.undecided = None;
-            ask.tries = 0;
+            demand.undecided_since = None;
+            demand.failed_centres = 0;
         }
-        ask.has_problem = state.problem.is_some();
+        demand.has_problem = state.problem.is_some();
         let estimate = Duration::from_millis(state.estimate);
-        ask.ready = (state.estimate > 0).then(|| now + estimate);
+        demand.ready = (state.estimate > 0).then(|| now + estimate);
     }
 
-    /// Returns when the target is expected to be loaded, if that is known.
+    /// Returns when the target is expected to be loaded, if known.
     pub(crate) fn ready(&self, target: &Name) -> Option<Time> {
-        self.targets.get(target).and_then(|a| a.ready)
+        self.targets.get(target).and_then(|d| d.ready)
     }
 
-    /// Reports whether the target cannot be loaded at all.
+    /// Returns whether no data centre can load the target.
     pub(crate) fn has_problem(&self, target: &Name) -> bool {
-        self.targets.get(target).is_some_and(|a| a.has_problem)
+        self.targets.get(target).is_some_and(|d| d.has_problem)
     }
 
-    /// Forgets the targets for which nobody waits and that are not due.
+    /// Drops targets that no request waits for and whose last demand and
+    /// estimate have expired.
     pub(crate) fn retain<F>(&mut self, now: Time, is_wanted: F)
     where
         F: Fn(&Name) -> bool,
     {
-        let is_fresh = |a: &Ask| a.next > now || a.ready.is_some_and(|at| at > now);
-        self.targets.retain(|t, a| is_wanted(t) || is_fresh(a));
+        let is_fresh = |d: &DemandState| d.due > now || d.ready.is_some_and(|at| at > now);
+        self.targets.retain(|t, d| is_wanted(t) || is_fresh(d));
     }
 }
--- a/crates/sequoiawing_policy/src/dispatch/event.rs
+++ b/crates/sequoiawing_policy/src/dispatch/event.rs
@@ -1,23 +1,23 @@
-use crate::{Refusal, Work};
+use crate::{DispatchRequest, Refusal};
 use sequoiawing_fleet::{Demand, OrderState, UpstreamState};
 use sequoiawing_types::Name;
 use std::{sync::Arc, time::Duration};
 
-/// What happens to a dispatcher.
+/// An input of a dispatcher.
 #[derive(Clone, Debug)]
 pub enum DispatchEvent {
-    /// A request wants an upstream.
-    Arrived(Work),
-    /// A waiting request is no longer wanted.
+    /// A request needs an upstream.
+    Arrived(DispatchRequest),
+    /// A queued request was cancelled.
     Cancelled {
         /// The request.
         id: u64,
     },
-    /// An assigned request ended on its upstream.
+    /// An assigned request has ended.
     Finished {
         /// The request.
         id: u64,
-        /// Whether the upstream did its part.
+        /// Whether the upstream handled the request properly.
         healthy: bool,
     },
     /// An upstream announced itself.
@@ -28,17 +28,17 @@
         upstream: Name,
     },
     /// The cell leader answered a demand.
-    Decided {
-        /// The adapter or model that was asked for.
+    DemandAnswered {
+        /// The requested adapter or model.
         model: Name,
-        /// How the decision stands.
+        /// The state of the decision.
         state: OrderState,
     },
-    /// Time passed.
+    /// Advances the time.
     Tick,
 }
 
-/// What a dispatcher wants done.
+/// An output of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchAction {
     /// Send the request to the upstream.
@@ -47,7 +47,7 @@
         id: u64,
         /// The upstream.
         upstream: Name,
-        /// For engines that honour it: 0 is served first.
+        /// The priority for engines that support it; 0 is served first.
         priority: u32,
     },
     /// Refuse the request.
@@ -56,9 +56,9 @@
         id: u64,
         /// The reason.
         reason: Refusal,
-        /// When asking again may help.
+        /// The suggested delay before a retry.
         retry: Duration,
     },
-    /// Ask the cell leader for a model.
-    Ask(Demand),
+    /// Send a demand for a model to the leader of a cell.
+    SendDemand(Demand),
 }
--- a/crates/sequoiawing_policy/src/dispatch/prefixes.rs
+++ b/crates/sequoiawing_policy/src/dispatch/prefixes.rs
@@ -1,12 +1,12 @@
 use std::collections::{HashSet, VecDeque};
 
-/// The beginnings of prompts that are remembered of one upstream.
+/// The number of prompt prefixes kept per upstream.
 const CAPACITY: usize = 128;
 
-/// The newest beginnings of prompts that an upstream probably has cached.
+/// The most recent prompt prefixes that an upstream probably has cached.
 ///
-/// It is fed by cache events, which come late and with gaps, and by what this
-/// router sent. A wrong entry costs a little time and nothing else.
+/// The set is filled from cache events, which may arrive late or get lost, and
+/// from the requests that this router sent. A wrong entry only costs some time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Prefixes {
     order: VecDeque<u64>,
--- a/crates/sequoiawing_policy/src/dispatch/settings.rs
+++ b/crates/sequoiawing_policy/src/dispatch/settings.rs
@@ -1,26 +1,26 @@
 use sequoiawing_types::Name;
 use std::time::Duration;
 
-/// The bounds of a dispatcher.
+/// The settings of a [`Dispatcher`](crate::Dispatcher).
 #[derive(Clone, Debug)]
 pub struct DispatchSettings {
-    /// The router's host, named in its demands.
+    /// The host of the router, named in its demands.
     pub host: Name,
-    /// The router's data centre; upstreams elsewhere come second.
+    /// The data centre of the router. Upstreams elsewhere are second choice.
     pub centre: Name,
     /// The pool.
     pub pool: Name,
-    /// The most requests that wait at once.
-    pub queue: usize,
-    /// The most requests of one customer that wait at once.
-    pub customer_queue: usize,
-    /// How often a demand that still stands is repeated.
-    pub repeat: Duration,
-    /// Whether the leaders of other data centres are asked too, so that all
-    /// routers ask the same one first.
-    pub roam: bool,
-    /// How long an upstream is left alone after a failure; doubled with each
-    /// further one.
+    /// The maximum number of queued requests.
+    pub queue_limit: usize,
+    /// The maximum number of queued requests of one customer.
+    pub customer_limit: usize,
+    /// The interval at which an unsatisfied demand is repeated.
+    pub demand_interval: Duration,
+    /// Whether demands are also sent to the leaders of other data centres. All
+    /// routers then ask the leaders in the same order.
+    pub cross_centre: bool,
+    /// The pause after the first failure of an upstream, doubled with each
+    /// further failure.
     pub backoff: Duration,
 }
 
@@ -30,10 +30,10 @@
             host: Name::default(),
             centre: Name::default(),
             pool: Name::default(),
-            queue: 10_000,
-            customer_queue: 5_000,
-            repeat: Duration::from_millis(250),
-            roam: true,
+            queue_limit: 10_000,
+            customer_limit: 5_000,
+            demand_interval: Duration::from_millis(250),
+            cross_centre: true,
             backoff: Duration::from_millis(500),
         }
     }
--- a/crates/sequoiawing_policy/src/dispatch/upstream.rs
+++ b/crates/sequoiawing_policy/src/dispatch/upstream.rs
@@ -1,57 +1,57 @@
-use crate::{Candidate, Work, dispatch::prefixes::Prefixes};
+use crate::{Candidate, DispatchRequest, dispatch::prefixes::Prefixes};
 use sequoiawing_fleet::{UpstreamKind, UpstreamState};
 use sequoiawing_types::{Name, Time};
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
-/// The longest pause after repeated failures of an upstream, as a power of two
-/// of the first.
+/// The longest backoff after repeated failures of an upstream, as a power of
+/// two times the first.
 const MAX_BACKOFF_POWER: u32 = 6;
 
-/// The weight of the newest observation in moving averages.
-const NEWEST: f64 = 0.2;
+/// The weight of the latest observation in moving averages.
+const LATEST_WEIGHT: f64 = 0.2;
 
-/// One upstream as a dispatcher sees it.
+/// The state that a dispatcher keeps for one upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Seat {
+pub(crate) struct Upstream {
     pub(crate) state: Arc<UpstreamState>,
-    /// What it can serve: models, adapters, and the empty name for any work
-    /// without a model.
+    /// The targets that the upstream can serve: models, adapters, and the empty
+    /// name for requests without a model.
     pub(crate) targets: HashSet<Name>,
     pub(crate) assigned: u32,
     reported: u32,
     failures: u32,
-    resting: Time,
-    is_probed: bool,
+    backoff_until: Time,
+    is_probing: bool,
     prefixes: Prefixes,
-    /// The mean time for a token, in microseconds; zero when unknown.
-    pub(crate) pace: f64,
+    /// The mean time per token in microseconds, or 0 if unknown.
+    pub(crate) token_time: f64,
 }
 
-impl Seat {
+impl Upstream {
     pub(crate) fn new(state: Arc<UpstreamState>) -> Self {
-        let mut seat = Self {
+        let mut upstream = Self {
             state: Arc::default(),
             targets: HashSet::new(),
             assigned: 0,
             reported: 0,
             failures: 0,
-            resting: Time::ZERO,
-            is_probed: false,
+            backoff_until: Time::ZERO,
+            is_probing: false,
             prefixes: Prefixes::default(),
-            pace: 0.0,
+            token_time: 0.0,
         };
-        seat.announce(state);
-        seat
+        upstream.announce(state);
+        upstream
     }
 
-    /// Takes in a newer announcement.
+    /// Applies a newer announcement.
     pub(crate) fn announce(&mut self, state: Arc<UpstreamState>) {
         if self.state.epoch != state.epoch {
             self.failures = 0;
-            self.is_probed = false;
-            self.resting = Time::ZERO;
+            self.is_probing = false;
+            self.backoff_until = Time::ZERO;
             self.prefixes = Prefixes::default();
-            self.pace = 0.0;
+            self.token_time = 0.0;
         }
         for prefix in &state.stored {
             self.prefixes.add(*prefix);
@@ -61,8 +61,8 @@
         self.state = state;
     }
 
-    /// Estimates the running requests: what the upstream reported, and what
-    /// this router has sent or seen end since.
+    /// Estimates the number of running requests from the last announcement and
+    /// the requests that this router has started or finished since.
     pub(crate) fn load(&self) -> u32 {
         let started = self.assigned.saturating_sub(self.reported);
         let ended = self.reported.saturating_sub(self.assigned);
@@ -70,49 +70,58 @@
         running.saturating_sub(ended).max(self.assigned)
     }
 
-    /// Reports whether another request may be sent.
+    /// Returns whether another request may be sent.
     ///
-    /// After a failure the upstream rests, and then gets one request at a time
-    /// until one succeeded.
+    /// After a failure the upstream gets no requests during the backoff, and
+    /// then one at a time until one succeeds.
     pub(crate) fn is_free(&self, now: Time) -> bool {
-        let probing = self.failures > 0 && self.is_probed;
-        let fits = self.load() < self.state.slots;
-        fits && !self.state.leaving && self.resting <= now && !probing
+        let awaits_probe = self.failures > 0 && self.is_probing;
+        let has_slot = self.load() < self.state.slots;
+        has_slot && !self.state.leaving && self.backoff_until <= now && !awaits_probe
     }
 
-    /// Reports whether it takes new work at all.
+    /// Returns whether the upstream accepts new requests at all.
     pub(crate) fn is_open(&self) -> bool {
         !self.state.leaving && self.state.slots > 0
     }
 
-    pub(crate) fn assign(&mut self, work: &Work) {
+    pub(crate) fn assign(&mut self, request: &DispatchRequest) {
         self.assigned += 1;
-        self.is_probed = self.failures > 0;
-        self.prefixes.add(work.prefix);
+        self.is_probing = self.failures > 0;
+        self.prefixes.add(request.prefix);
     }
 
     pub(crate) fn finish(&mut self, now: Time, healthy: bool, backoff: Duration) {
         self.assigned = self.assigned.saturating_sub(1);
-        self.is_probed = false;
+        self.is_probing = false;
         if healthy {
             self.failures = 0;
             return;
         }
         let power = self.failures.min(MAX_BACKOFF_POWER);
         self.failures += 1;
-        self.resting = now + backoff * 2_u32.pow(power);
+        self.backoff_until = now + backoff * 2_u32.pow(power);
     }
 
-    /// Learns how long a request with so many tokens took.
-    pub(crate) fn learn(&mut self, took: Duration, tokens: u64) {
+    /// Records the duration of a request with this number of tokens.
+    pub(crate) fn record_duration(&mut self, duration: Duration, tokens: u64) {
         #[expect(clippy::cast_precision_loss, reason = "a mean needs no exact count")]
-        let pace = took.as_secs_f64() * 1e6 / tokens.max(1) as f64;
-        self.pace = average(self.pace, pace);
+        let token_time = duration.as_secs_f64() * 1e6 / tokens.max(1) as f64;
+        self.token_time = average(self.token_time, token_time);
     }
 
-    pub(crate) fn candidate(&self, work: &Work, centre: &Name, mean: f64) -> Candidate<'_> {
-        let known = self.pace > 0.0 && mean > 0.0;
-        let ratio = if known { self.pace / mean } else { 1.0 };
+    pub(crate) fn candidate(
+        &self,
+        request: &DispatchRequest,
+        centre: &Name,
+        mean: f64,
+    ) -> Candidate<'_> {
+        let is_known = self.token_time > 0.0 && mean > 0.0;
+        let ratio = if is_known {
+            self.token_time / mean
+        } else {
+            1.0
+        };
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -123,19 +132,19 @@
             state: &self.state,
             load: self.load(),
             failures: self.failures,
-            remote: self.state.centre != *centre,
-            cached: self.prefixes.contains(work.prefix),
+            is_remote: self.state.centre != *centre,
+            is_cached: self.prefixes.contains(request.prefix),
             slowness,
         }
     }
 }
 
 /// Returns the moving average after one more observation.
-pub(crate) fn average(mean: f64, newest: f64) -> f64 {
+pub(crate) fn average(mean: f64, latest: f64) -> f64 {
     if mean > 0.0 {
-        mean + NEWEST * (newest - mean)
+        mean + LATEST_WEIGHT * (latest - mean)
     } else {
-        newest
+        latest
     }
 }
 
--- a/crates/sequoiawing_policy/src/dispatch/upstreams.rs
+++ b/crates/sequoiawing_policy/src/dispatch/upstreams.rs
@@ -1,6 +1,6 @@
 use crate::{
-    Candidate, Checkpoint, ChooseUpstream, Work,
-    dispatch::upstream::{Seat, average},
+    Candidate, Checkpoint, ChooseUpstream, DispatchRequest,
+    dispatch::upstream::{Upstream, average},
 };
 use sequoiawing_fleet::{UpstreamKind, UpstreamState};
 use sequoiawing_types::{Name, Time};
@@ -12,24 +12,25 @@
 };
 
 new_key_type! {
-    /// Names an upstream within one dispatcher.
-    pub(crate) struct SeatKey;
+    /// Identifies an upstream within one dispatcher.
+    pub(crate) struct UpstreamKey;
 }
 
-/// How well a data centre is placed to load a model; the least is best.
+/// The rank of a data centre for loading a model; the least is best.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Standing {
-    /// Whether a model that is loaded, but busy, is wanted far from home.
+struct CentreRank {
+    /// Whether the model is already loaded somewhere and the data centre is not
+    /// the local one.
     is_far: bool,
-    /// Whether an adapter's model is not loaded there.
-    is_away: bool,
+    /// Whether the base model of an adapter is not loaded there.
+    lacks_base: bool,
     /// Whether the model is not being loaded there.
-    is_still: bool,
+    is_not_loading: bool,
     checkpoint: Checkpoint,
     spread: u64,
 }
 
-/// Returns a number by which models spread over data centres, the same on all
+/// Returns a hash that spreads models over data centres and is the same on all
 /// routers.
 fn spread(model: &Name, centre: &Name) -> u64 {
     let bytes = model.as_str().bytes().chain(centre.as_str().bytes());
@@ -41,26 +42,26 @@
 /// A request that an upstream runs for this router.
 #[derive(Clone, Copy, Debug)]
 struct Running {
-    seat: SeatKey,
+    upstream: UpstreamKey,
     since: Time,
     tokens: u64,
 }
 
-/// The upstreams of one pool, indexed by what they have loaded.
+/// The upstreams of one pool, indexed by the targets that they serve.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seats {
+pub(crate) struct Upstreams {
     centre: Name,
-    slots: SlotMap<SeatKey, Seat>,
-    names: BTreeMap<Name, SeatKey>,
-    index: HashMap<Name, Vec<SeatKey>>,
+    entries: SlotMap<UpstreamKey, Upstream>,
+    names: BTreeMap<Name, UpstreamKey>,
+    index: HashMap<Name, Vec<UpstreamKey>>,
     running: HashMap<u64, Running>,
-    /// The mean time for a token over all upstreams, in microseconds.
-    pace: f64,
-    /// The mean time for a request, in microseconds.
-    span: f64,
+    /// The mean time per token over all upstreams, in microseconds.
+    token_time: f64,
+    /// The mean duration of a request, in microseconds.
+    request_time: f64,
 }
 
-impl Seats {
+impl Upstreams {
     pub(crate) fn new(centre: Name) -> Self {
         Self {
             centre,
@@ -68,45 +69,45 @@
         }
     }
 
-    /// Takes in an announcement and returns the upstream's key.
-    pub(crate) fn announce(&mut self, state: Arc<UpstreamState>) -> SeatKey {
+    /// Applies an announcement and returns the key of the upstream.
+    pub(crate) fn announce(&mut self, state: Arc<UpstreamState>) -> UpstreamKey {
         let Some(key) = self.names.get(&state.name).copied() else {
             let name = state.name.clone();
-            let seat = Seat::new(state);
-            let targets: Vec<Name> = seat.targets.iter().cloned().collect();
-            let key = self.slots.insert(seat);
+            let upstream = Upstream::new(state);
+            let targets: Vec<Name> = upstream.targets.iter().cloned().collect();
+            let key = self.entries.insert(upstream);
             self.names.insert(name, key);
             self.index_targets(key, targets);
             return key;
         };
-        let seat = &mut self.slots[key];
-        let before = std::mem::take(&mut seat.targets);
-        seat.announce(state);
-        let lost: Vec<Name> = before.difference(&seat.targets).cloned().collect();
-        let gained: Vec<Name> = seat.targets.difference(&before).cloned().collect();
+        let upstream = &mut self.entries[key];
+        let before = std::mem::take(&mut upstream.targets);
+        upstream.announce(state);
+        let lost: Vec<Name> = before.difference(&upstream.targets).cloned().collect();
+        let gained: Vec<Name> = upstream.targets.difference(&before).cloned().collect();
         self.drop_targets(key, &lost);
         self.index_targets(key, gained);
         key
     }
 
-    /// Forgets an upstream.
-    pub(crate) fn remove(&mut self, upstream: &Name) {
-        let Some(key) = self.names.remove(upstream) else {
+    /// Removes an upstream.
+    pub(crate) fn remove(&mut self, name: &Name) {
+        let Some(key) = self.names.remove(name) else {
             return;
         };
-        if let Some(seat) = self.slots.remove(key) {
-            let lost: Vec<Name> = seat.targets.into_iter().collect();
+        if let Some(upstream) = self.entries.remove(key) {
+            let lost: Vec<Name> = upstream.targets.into_iter().collect();
             self.drop_targets(key, &lost);
         }
     }
 
-    fn index_targets(&mut self, key: SeatKey, targets: Vec<Name>) {
+    fn index_targets(&mut self, key: UpstreamKey, targets: Vec<Name>) {
         for target in targets {
             self.index.entry(target).or_default().push(key);
         }
     }
 
-    fn drop_targets(&mut self, key: SeatKey, targets: &[Name]) {
+    fn drop_targets(&mut self, key: UpstreamKey, targets: &[Name]) {
         for target in targets {
             let Some(keys) = self.index.get_mut(target) else {
                 continue;
@@ -118,124 +119,138 @@
         }
     }
 
-    fn having(&self, target: &Name) -> &[SeatKey] {
+    fn serving(&self, target: &Name) -> &[UpstreamKey] {
         self.index.get(target).map_or(&[], Vec::as_slice)
     }
 
-    /// Reports whether an upstream that takes new work has the target.
+    /// Returns whether an upstream that accepts new requests serves the target.
     pub(crate) fn has_target(&self, target: &Name) -> bool {
-        let open = |k: &SeatKey| self.slots[*k].is_open();
-        self.having(target).iter().any(open)
+        let open = |k: &UpstreamKey| self.entries[*k].is_open();
+        self.serving(target).iter().any(open)
     }
 
     pub(crate) fn has_kind(&self, kind: UpstreamKind) -> bool {
-        self.slots.values().any(|seat| seat.state.kind == kind)
+        self.entries
+            .values()
+            .any(|upstream| upstream.state.kind == kind)
     }
 
-    /// Reports whether the upstream may take one more request.
-    pub(crate) fn is_free(&self, key: SeatKey, now: Time) -> bool {
-        self.slots.get(key).is_some_and(|seat| seat.is_free(now))
+    /// Returns whether the upstream can take one more request.
+    pub(crate) fn is_free(&self, key: UpstreamKey, now: Time) -> bool {
+        self.entries
+            .get(key)
+            .is_some_and(|upstream| upstream.is_free(now))
     }
 
     /// Returns the keys of all upstreams.
-    pub(crate) fn keys(&self) -> Vec<SeatKey> {
-        self.slots.keys().collect()
+    pub(crate) fn keys(&self) -> Vec<UpstreamKey> {
+        self.entries.keys().collect()
     }
 
-    /// Returns what the upstream can serve.
-    pub(crate) fn targets(&self, key: SeatKey) -> &HashSet<Name> {
-        &self.slots[key].targets
+    /// Returns the targets that the upstream serves.
+    pub(crate) fn targets(&self, key: UpstreamKey) -> &HashSet<Name> {
+        &self.entries[key].targets
     }
 
-    /// Reports whether the work may go to the upstream: it has not failed the
-    /// work, or every other one has failed it too.
-    pub(crate) fn suits(&self, key: SeatKey, work: &Work) -> bool {
-        let failed = |k: &SeatKey| work.avoid.contains(&self.slots[*k].state.name);
+    /// Returns whether the request may go to the upstream: either it has not
+    /// failed there, or it has failed on every upstream that serves the target.
+    pub(crate) fn suits(&self, key: UpstreamKey, request: &DispatchRequest) -> bool {
+        let failed = |k: &UpstreamKey| request.avoid.contains(&self.entries[*k].state.name);
         if !failed(&key) {
             return true;
         }
-        let others = self.having(&work.target()).iter();
+        let others = self.serving(&request.target()).iter();
         !others
-            .filter(|k| self.slots[**k].is_open())
+            .filter(|k| self.entries[**k].is_open())
             .any(|k| !failed(k))
     }
 
-    /// Chooses an upstream that can take the work now.
+    /// Chooses an upstream that can take the request now.
     pub(crate) fn choose(
         &self,
         now: Time,
-        work: &Work,
+        request: &DispatchRequest,
         choice: &mut dyn ChooseUpstream,
-    ) -> Option<SeatKey> {
-        let having = self.having(&work.target()).iter().copied();
-        let free = having.filter(|k| self.slots[*k].is_free(now) && self.suits(*k, work));
-        let free: Vec<SeatKey> = free.collect();
+    ) -> Option<UpstreamKey> {
+        let serving = self.serving(&request.target()).iter().copied();
+        let free = serving.filter(|k| self.entries[*k].is_free(now) && self.suits(*k, request));
+        let free: Vec<UpstreamKey> = free.collect();
         if free.is_empty() {
             return None;
         }
-        let candidate = |k: &SeatKey| self.slots[*k].candidate(work, &self.centre, self.pace);
+        let candidate =
+            |k: &UpstreamKey| self.entries[*k].candidate(request, &self.centre, self.token_time);
         let candidates: Vec<Candidate<'_>> = free.iter().map(candidate).collect();
-        Some(free[choice.choose(work, &candidates)])
+        Some(free[choice.choose(request, &candidates)])
     }
 
-    /// Counts a request as running, and returns its upstream's name.
-    pub(crate) fn assign(&mut self, now: Time, key: SeatKey, work: &Work) -> Name {
-        let seat = &mut self.slots[key];
-        seat.assign(work);
+    /// Records a request as running and returns the name of its upstream.
+    pub(crate) fn assign(
+        &mut self,
+        now: Time,
+        key: UpstreamKey,
+        request: &DispatchRequest,
+    ) -> Name {
+        let upstream = &mut self.entries[key];
+        upstream.assign(request);
         let running = Running {
-            seat: key,
+            upstream: key,
             since: now,
-            tokens: work.tokens,
+            tokens: request.tokens,
         };
-        self.running.insert(work.id, running);
-        seat.state.name.clone()
+        self.running.insert(request.id, running);
+        upstream.state.name.clone()
     }
 
-    /// Notes that a request ended, and returns its upstream if it is known.
+    /// Records that a request ended. Returns its upstream if it is known.
     pub(crate) fn finish(
         &mut self,
         now: Time,
         id: u64,
         healthy: bool,
         backoff: Duration,
-    ) -> Option<SeatKey> {
+    ) -> Option<UpstreamKey> {
         let running = self.running.remove(&id)?;
-        let seat = self.slots.get_mut(running.seat)?;
-        seat.finish(now, healthy, backoff);
+        let upstream = self.entries.get_mut(running.upstream)?;
+        upstream.finish(now, healthy, backoff);
         if healthy {
-            let took = now.since(running.since);
-            seat.learn(took, running.tokens);
-            self.pace = average(self.pace, seat.pace);
-            self.span = average(self.span, took.as_secs_f64() * 1e6);
+            let duration = now.since(running.since);
+            upstream.record_duration(duration, running.tokens);
+            self.token_time = average(self.token_time, upstream.token_time);
+            self.request_time = average(self.request_time, duration.as_secs_f64() * 1e6);
         }
-        Some(running.seat)
+        Some(running.upstream)
     }
 
-    /// Returns the data centres whose leaders are to be asked for a model, one
-    /// after the other until one helps.
+    /// Returns the data centres whose leaders are asked to load a model, in
+    /// order.
     ///
-    /// All routers begin alike, so that first requests in several data centres
-    /// lead to one load: where the model is or is being loaded, or else where
-    /// its checkpoint is nearest. Adapters go where their model is. A loaded
-    /// model is asked for only since it is too busy, and then at home first.
+    /// All routers use the same order, so that the first requests in several
+    /// data centres lead to a single load: where the model is or is being
+    /// loaded, or else where its checkpoint is nearest. Adapters go where their
+    /// model is loaded. A loaded model is requested only when its replicas are
+    /// too busy, and then from the local data centre first.
     pub(crate) fn best_centres(&self, model: &Name, is_adapter: bool) -> Vec<Name> {
-        let is_loaded = !self.having(model).is_empty();
-        let mut best: BTreeMap<&Name, Standing> = BTreeMap::new();
-        let open = self.slots.values().filter(|s| s.is_open());
-        for seat in open.filter(|s| s.state.kind == UpstreamKind::Runner) {
-            let state = &seat.state;
+        let is_loaded = !self.serving(model).is_empty();
+        let mut best: BTreeMap<&Name, CentreRank> = BTreeMap::new();
+        let open = self.entries.values().filter(|u| u.is_open());
+        for upstream in open.filter(|u| u.state.kind == UpstreamKind::Runner) {
+            let state = &upstream.state;
             let is_home = state.centre == self.centre;
-            let standing = Standing {
+            let rank = CentreRank {
                 is_far: is_loaded && !is_home && (!is_adapter || !state.has_model(model)),
-                is_away: is_adapter && !state.has_model(model),
-                is_still: !state.is_loading(model),
+                lacks_base: is_adapter && !state.has_model(model),
+                is_not_loading: !state.is_loading(model),
                 checkpoint: Checkpoint::of(state, model),
                 spread: spread(model, &state.centre),
             };
-            let known = best.entry(&state.centre).or_insert(standing);
-            *known = (*known).min(standing);
+            let known = best.entry(&state.centre).or_insert(rank);
+            *known = (*known).min(rank);
         }
-        let mut ranked: Vec<(Standing, &Name)> = best.into_iter().map(|(c, s)| (s, c)).collect();
+        let mut ranked: Vec<(CentreRank, &Name)> = best
+            .into_iter()
+            .map(|(centre, rank)| (rank, centre))
+            .collect();
         ranked.sort();
         ranked
             .into_iter()
@@ -243,16 +258,16 @@
             .collect()
     }
 
-    /// Counts the data centres that have open upstreams.
+    /// Returns the number of data centres that have open upstreams.
     pub(crate) fn centres(&self) -> usize {
-        let open = self.slots.values().filter(|s| s.is_open());
-        let centres: BTreeSet<&Name> = open.map(|s| &s.state.centre).collect();
+        let open = self.entries.values().filter(|u| u.is_open());
+        let centres: BTreeSet<&Name> = open.map(|u| &u.state.centre).collect();
         centres.len()
     }
 
-    /// Returns the tokens a second that one running request gets.
-    pub(crate) fn pace(&self) -> u32 {
-        if self.pace <= 0.0 {
+    /// Returns the tokens per second of one running request, or 0 if unknown.
+    pub(crate) fn token_rate(&self) -> u32 {
+        if self.token_time <= 0.0 {
             return 0;
         }
         #[expect(
@@ -260,17 +275,17 @@
             clippy::cast_sign_loss,
             reason = "the value is clamped"
         )]
-        let pace = (1e6 / self.pace).clamp(1.0, 1e6) as u32;
-        pace
+        let rate = (1e6 / self.token_time).clamp(1.0, 1e6) as u32;
+        rate
     }
 
-    /// Estimates how long it takes until `ahead` requests for the target have
-    /// ended, from how fast this router's own end.
-    pub(crate) fn wait(&self, target: &Name, ahead: usize) -> Duration {
-        let having = self.having(target).iter();
-        let own: u32 = having.map(|k| self.slots[*k].assigned).sum();
+    /// Estimates the time until `ahead` requests for the target have finished,
+    /// from the durations of this router's own requests.
+    pub(crate) fn estimate_wait(&self, target: &Name, ahead: usize) -> Duration {
+        let serving = self.serving(target).iter();
+        let own: u32 = serving.map(|k| self.entries[*k].assigned).sum();
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
-        let turns = ahead as f64 / f64::from(own.max(1));
-        Duration::from_secs_f64(turns * self.span / 1e6)
+        let rounds = ahead as f64 / f64::from(own.max(1));
+        Duration::from_secs_f64(rounds * self.request_time / 1e6)
     }
 }
--- a/crates/sequoiawing_policy/src/lib.rs
+++ b/crates/sequoiawing_policy/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions about dispatch, placement and idleness.
+//! Policies for dispatch, placement and keep-alive.
 //!
-//! Both machines are pure: they are told the time and every event, and return
-//! actions. A [`Dispatcher`] runs in each router and matches waiting requests
-//! with upstreams; a [`Placer`] runs in the leader of each cell and decides
-//! which models are loaded where. See [docs/design](../../../docs/design).
+//! All state machines are pure: they receive the time and every event, and
+//! return actions. A [`Dispatcher`] runs in each router and matches queued
+//! requests with upstreams; a [`Placer`] runs in the leader of each cell and
+//! decides which models are loaded where. See
+//! [docs/design](../../../docs/design).
 
 mod choice;
 mod discipline;
@@ -14,7 +15,7 @@
 pub mod serving;
 
 pub use choice::{AffinityChoice, Candidate, ChooseUpstream, LeastLoad};
-pub use discipline::{FairTokens, FirstCome, MAX_PRIORITY, ShareService};
+pub use discipline::{FairQueueing, Fifo, MAX_PRIORITY, QueueDiscipline};
 pub use dispatch::{DispatchAction, DispatchEvent, DispatchSettings, Dispatcher};
 pub use keep_alive::{FixedKeepAlive, IdleSettings, KeepAlive, LearnedKeepAlive, Wake};
 pub use place::{
@@ -23,10 +24,10 @@
     PlaceEvent, PlacePolicies, PlaceSettings, Placer, RankVictims, ReplicaDemand, SequenceLoads,
     Spot, StoreUse, TokenDemand, Victim,
 };
-pub use request::{Refusal, Work};
+pub use request::{DispatchRequest, Refusal};
 
-/// The types that users of the decisions import most.
+/// The most commonly used types.
 pub mod prelude {
-    pub use crate::{DispatchAction, DispatchEvent, Dispatcher};
-    pub use crate::{PlaceAction, PlaceEvent, Placer, Work};
+    pub use crate::{DispatchAction, DispatchEvent, DispatchRequest, Dispatcher};
+    pub use crate::{PlaceAction, PlaceEvent, Placer};
 }
--- a/crates/sequoiawing_policy/src/request.rs
+++ b/crates/sequoiawing_policy/src/request.rs
@@ -1,44 +1,45 @@
 use sequoiawing_types::{Name, Time};
 
-/// A request that wants an upstream.
+/// A request to be assigned to an upstream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Work {
-    /// Unique within the router.
+pub struct DispatchRequest {
+    /// The ID, unique within the router.
     pub id: u64,
-    /// The customer for whom it runs.
+    /// The customer that the request belongs to.
     pub customer: Name,
-    /// The customer's share of service beside others.
+    /// The weight of the customer in fair queueing.
     pub weight: u32,
-    /// The model; none for plain services.
+    /// The model, or `None` for plain services.
     pub model: Option<Name>,
     /// The adapter, as `model:adapter`.
     pub adapter: Option<Name>,
-    /// The tokens that it may use.
+    /// The maximum number of tokens that the request may use.
     pub tokens: u64,
-    /// The latest moment for its answer to begin.
+    /// The time by which its response must begin.
     pub deadline: Time,
-    /// The hash of its prompt's beginning; zero for none.
+    /// The hash of the prompt prefix, or 0 for none.
     pub prefix: u64,
-    /// Upstreams that already failed it.
+    /// The upstreams on which the request already failed.
     pub avoid: Vec<Name>,
 }
 
-impl Work {
+impl DispatchRequest {
     /// Returns what an upstream must have loaded to run the request: the
-    /// adapter, or else the model. Plain services need the empty name.
+    /// adapter if there is one, or else the model. Plain services use the empty
+    /// name.
     pub fn target(&self) -> Name {
         let target = self.adapter.as_ref().or(self.model.as_ref());
         target.cloned().unwrap_or_default()
     }
 }
 
-/// Why a request was refused; nothing of it was sent.
+/// The reason why a request was refused before any of it was sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// No upstream can start it before its deadline.
+    /// No upstream can start the request before its deadline.
     TooLate,
-    /// Too many requests wait.
+    /// Too many requests are queued.
     QueueFull,
-    /// No upstream of the pool is alive, or none can hold the model.
+    /// The pool has no live upstream, or none can load the model.
     NoUpstream,
 }
--- a/crates/sequoiawing_policy/tests/choice/failures.rs
+++ b/crates/sequoiawing_policy/tests/choice/failures.rs
@@ -1,34 +1,34 @@
-use crate::fleet::{SLOTS, finish, router, runner, send, tell, work};
-use sequoiawing_policy::{DispatchEvent, Dispatcher, Work};
+use crate::fleet::{SLOTS, finish, handle, request, router, runner, send};
+use sequoiawing_policy::{DispatchEvent, DispatchRequest, Dispatcher};
 use sequoiawing_types::{Name, Time};
 use std::collections::VecDeque;
 
 const RUNNERS: usize = 2;
 const REQUESTS: u64 = 200;
 
-/// How often the dispatcher is told the time, in milliseconds.
+/// The interval between ticks of the dispatcher, in milliseconds.
 const TICK: u64 = 50;
 
-/// When the pool returns, in milliseconds.
-const RETURN: u64 = 10_000;
+/// The time at which the pool recovers, in milliseconds.
+const RECOVERY: u64 = 10_000;
 
-/// How long a request runs, in milliseconds.
+/// The duration of a request, in milliseconds.
 const SERVICE: u64 = 500;
 
-/// The attempts that are a storm beyond doubt.
-const STORM: usize = 10_000;
+/// The number of attempts that is certainly a retry storm.
+const RETRY_STORM: usize = 10_000;
 
-/// A pool that fails every request at once until it returns.
+/// A pool that fails every request immediately until it recovers.
 #[derive(Default)]
 struct FailingPool {
     now: u64,
     attempts: usize,
-    /// Most requests that ran at once on one runner.
-    most: usize,
-    /// The runners that were sent a second request after their return before a
-    /// first one had succeeded.
-    hasty: usize,
-    proven: Vec<Name>,
+    /// The peak number of concurrent requests on one runner.
+    peak: usize,
+    /// The number of requests sent to a recovered runner while its first
+    /// request was still running.
+    premature: usize,
+    recovered: Vec<Name>,
     running: Vec<(u64, u64, Name)>,
     done: Vec<u64>,
 }
@@ -37,18 +37,21 @@
     fn take(&mut self, dispatcher: &mut Dispatcher, assigned: Vec<(u64, Name)>) {
         let mut assigned = VecDeque::from(assigned);
         while let Some((id, upstream)) = assigned.pop_front() {
-            if self.now >= RETURN {
+            if self.now >= RECOVERY {
                 self.start(id, upstream);
                 continue;
             }
             self.attempts += 1;
-            assert!(self.attempts < STORM, "a storm of attempts");
+            assert!(
+                self.attempts < RETRY_STORM,
+                "retry storm: {RETRY_STORM} attempts"
+            );
             assigned.extend(finish(dispatcher, self.now, id, false));
-            let again = Work {
+            let again = DispatchRequest {
                 avoid: vec![upstream],
-                ..work(id, 0)
+                ..request(id, 0)
             };
-            assigned.extend(tell(dispatcher, self.now, DispatchEvent::Arrived(again)));
+            assigned.extend(handle(dispatcher, self.now, DispatchEvent::Arrived(again)));
         }
     }
 
@@ -58,8 +61,8 @@
             .iter()
             .filter(|(_, _, on)| *on == upstream)
             .count();
-        self.hasty += usize::from(here > 0 && !self.proven.contains(&upstream));
-        self.most = self.most.max(here + 1);
+        self.premature += usize::from(here > 0 && !self.recovered.contains(&upstream));
+        self.peak = self.peak.max(here + 1);
         self.running.push((self.now + SERVICE, id, upstream));
     }
 
@@ -70,19 +73,19 @@
         let ended: Vec<(u64, u64, Name)> = ended;
         for (_, id, upstream) in ended {
             self.done.push(id);
-            self.proven.push(upstream);
+            self.recovered.push(upstream);
             let assigned = finish(dispatcher, now, id, true);
             self.take(dispatcher, assigned);
         }
     }
 
-    /// Lets requests wait for the pool, of which every second one would come
-    /// too late by its return, and returns what happened until `end`.
+    /// Queues requests for the pool, half of which expire before it recovers,
+    /// and simulates until `end`.
     fn run(end: u64) -> Self {
         let mut pool = Self::default();
         let mut dispatcher = router(0);
         for number in 0..RUNNERS {
-            tell(
+            handle(
                 &mut dispatcher,
                 0,
                 DispatchEvent::Announced(runner(number, 1).into()),
@@ -91,58 +94,63 @@
         for id in 0..REQUESTS {
             let deadline = if id % 2 == 0 { 60_000 } else { 9_000 };
             let deadline = Time::from_millis(deadline);
-            let first = Work {
+            let first = DispatchRequest {
                 deadline,
-                ..work(id, 0)
+                ..request(id, 0)
             };
-            let assigned = tell(&mut dispatcher, 0, DispatchEvent::Arrived(first));
+            let assigned = handle(&mut dispatcher, 0, DispatchEvent::Arrived(first));
             pool.take(&mut dispatcher, assigned);
         }
         while pool.now < end {
             pool.now += TICK;
             pool.end(&mut dispatcher);
-            let assigned = tell(&mut dispatcher, pool.now, DispatchEvent::Tick);
+            let assigned = handle(&mut dispatcher, pool.now, DispatchEvent::Tick);
             pool.take(&mut dispatcher, assigned);
         }
         pool
     }
 }
 
-/// With pauses that double from half a second, each runner is tried at 0, 0.5,
-/// 1.5, 3.5 and 7.5 s, whatever waits.
+/// With backoffs that double from 500 ms, each runner is tried at 0, 0.5, 1.5,
+/// 3.5 and 7.5 s, regardless of the number of queued requests.
 #[test]
-fn a_failing_pool_is_not_stormed() {
-    let pool = FailingPool::run(RETURN - TICK);
-    let most = 6 * RUNNERS;
+fn failing_pool_gets_no_retry_storm() {
+    let pool = FailingPool::run(RECOVERY - TICK);
+    let peak = 6 * RUNNERS;
     assert!(pool.attempts >= RUNNERS, "the runners are tried");
     assert!(
-        pool.attempts <= most,
-        "{} attempts, at most {most}",
+        pool.attempts <= peak,
+        "{} attempts, at most {peak}",
         pool.attempts
     );
 }
 
-/// When the pool returns, what is left is served at the pool's own pace, and
-/// what is too late by then takes nobody's place.
+/// After recovery, the remaining requests must be served without overloading
+/// the runners, and expired requests must not take up slots.
 #[test]
-fn a_pool_that_returns_does_not_collapse_again() {
+fn recovered_pool_is_not_overloaded() {
     let pool = FailingPool::run(40_000);
-    assert_eq!(pool.hasty, 0, "each runner is tried with one request first");
-    assert!(pool.most <= SLOTS as usize, "{} at once", pool.most);
+    assert_eq!(pool.premature, 0, "each runner gets a single request first");
+    assert!(
+        pool.peak <= SLOTS as usize,
+        "{} concurrent requests",
+        pool.peak
+    );
     let in_time = pool.done.iter().filter(|id| **id % 2 == 0).count();
     let expected = usize::try_from(REQUESTS / 2).unwrap_or(0);
     assert!(
         in_time + RUNNERS >= expected,
-        "{in_time} of {expected} served"
+        "{in_time} of {expected} requests served"
     );
 }
 
-/// A runner ten times as slow as its twin gets less, but is tried again.
+/// A runner that is ten times slower than the other gets fewer requests, but is
+/// still tried.
 #[test]
-fn a_slow_runner_is_left_and_tried_again() {
+fn slow_runner_gets_fewer_requests_but_is_tried() {
     let mut dispatcher = router(0);
     for number in 0..RUNNERS {
-        tell(
+        handle(
             &mut dispatcher,
             0,
             DispatchEvent::Announced(runner(number, 1).into()),
@@ -152,9 +160,9 @@
     let mut slow = 0;
     for id in 0..REQUESTS {
         let deadline = Time::from_millis(now + 60_000);
-        let next = Work {
+        let next = DispatchRequest {
             deadline,
-            ..work(id, 0)
+            ..request(id, 0)
         };
         let upstream = send(&mut dispatcher, now, next);
         let is_slow = upstream.as_str() == "runner-0";
@@ -165,6 +173,6 @@
     assert!(slow > 0, "the slow runner is tried");
     assert!(
         slow * 5 < REQUESTS * 2,
-        "{slow} of {REQUESTS} went to the slow one"
+        "{slow} of {REQUESTS} requests went to the slow runner"
     );
 }
--- a/crates/sequoiawing_policy/tests/choice/fleet.rs
+++ b/crates/sequoiawing_policy/tests/choice/fleet.rs
@@ -1,11 +1,13 @@
 use sequoiawing_fleet::UpstreamState;
-use sequoiawing_policy::{DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, Work};
+use sequoiawing_policy::{
+    DispatchAction, DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher,
+};
 use sequoiawing_types::{Name, Time};
 
-/// The requests that each runner runs at once.
+/// The number of requests that a runner runs concurrently.
 pub(crate) const SLOTS: u32 = 16;
 
-/// Returns the announcement of a runner that has loaded the model.
+/// Returns an announcement of a runner that has loaded the model.
 pub(crate) fn runner(number: usize, sequence: u64) -> UpstreamState {
     UpstreamState {
         name: Name::from(format!("runner-{number}")),
@@ -20,8 +22,8 @@
     }
 }
 
-pub(crate) fn work(id: u64, prefix: u64) -> Work {
-    Work {
+pub(crate) fn request(id: u64, prefix: u64) -> DispatchRequest {
+    DispatchRequest {
         id,
         customer: Name::from("daily"),
         weight: 1,
@@ -29,11 +31,11 @@
         tokens: 100,
         deadline: Time::from_millis(60_000),
         prefix,
-        ..Work::default()
+        ..DispatchRequest::default()
     }
 }
 
-/// Returns a router's dispatcher as it ships.
+/// Returns the dispatcher of a router with default settings.
 pub(crate) fn router(number: usize) -> Dispatcher {
     Dispatcher::new(DispatchSettings {
         host: Name::from(format!("entry-{number}")),
@@ -43,7 +45,7 @@
     })
 }
 
-pub(crate) fn tell(
+pub(crate) fn handle(
     dispatcher: &mut Dispatcher,
     now: u64,
     event: DispatchEvent,
@@ -57,9 +59,9 @@
     assigned.collect()
 }
 
-/// Sends one request and returns its upstream.
-pub(crate) fn send(dispatcher: &mut Dispatcher, now: u64, work: Work) -> Name {
-    let assigned = tell(dispatcher, now, DispatchEvent::Arrived(work));
+/// Submits a request and returns the upstream that it was assigned to.
+pub(crate) fn send(dispatcher: &mut Dispatcher, now: u64, request: DispatchRequest) -> Name {
+    let assigned = handle(dispatcher, now, DispatchEvent::Arrived(request));
     assigned[0].1.clone()
 }
 
@@ -69,5 +71,5 @@
     id: u64,
     healthy: bool,
 ) -> Vec<(u64, Name)> {
-    tell(dispatcher, now, DispatchEvent::Finished { id, healthy })
+    handle(dispatcher, now, DispatchEvent::Finished { id, healthy })
 }
--- a/crates/sequoiawing_policy/tests/choice/main.rs
+++ b/crates/sequoiawing_policy/tests/choice/main.rs
@@ -1,5 +1,5 @@
-//! How dispatchers choose upstreams from late, missing and stale reports, and
-//! what they send to upstreams that fail.
+//! Tests how dispatchers choose upstreams from late, missing and stale reports,
+//! and how they treat failing upstreams.
 
 mod failures;
 mod fleet;
--- a/crates/sequoiawing_policy/tests/demands.rs
+++ b/crates/sequoiawing_policy/tests/demands.rs
@@ -1,7 +1,9 @@
-//! Which leaders a dispatcher asks for an adapter.
+//! Tests which cell leaders a dispatcher sends its demands to.
 
 use sequoiawing_fleet::{OrderState, UpstreamState};
-use sequoiawing_policy::{DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, Work};
+use sequoiawing_policy::{
+    DispatchAction, DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher,
+};
 use sequoiawing_types::{Name, Time};
 use std::sync::Arc;
 
@@ -19,16 +21,16 @@
     }))
 }
 
-/// Lets a second pass, in which the leaders answer alike, and returns the data
-/// centres that were asked.
-fn pass(dispatcher: &mut Dispatcher, from: u64, decided: bool) -> Vec<Name> {
+/// Advances time by one second, in which all leaders give the same answer, and
+/// returns the data centres that were asked.
+fn advance(dispatcher: &mut Dispatcher, from: u64, decided: bool) -> Vec<Name> {
     let mut asked = Vec::new();
     for step in 0..20 {
         let now = Time::from_millis(from + step * 50);
         let mut out = Vec::new();
         dispatcher.handle(now, DispatchEvent::Tick, &mut out);
         for action in out {
-            let DispatchAction::Ask(demand) = action else {
+            let DispatchAction::SendDemand(demand) = action else {
                 continue;
             };
             asked.push(demand.centre);
@@ -37,18 +39,18 @@
                 ..OrderState::default()
             };
             let model = Name::from("strip:ink");
-            let answer = DispatchEvent::Decided { model, state };
+            let answer = DispatchEvent::DemandAnswered { model, state };
             dispatcher.handle(now, answer, &mut Vec::new());
         }
     }
     asked
 }
 
-/// While nothing is decided the router asks one leader after the other; once
-/// the model is loaded it asks the one that has it, so that the adapter
-/// follows.
+/// The router asks one leader after the other while a demand is undecided. Once
+/// the model is loaded, it must ask the leader of the data centre that has it,
+/// so that the adapter is loaded there.
 #[test]
-fn an_adapter_is_asked_for_where_its_model_was_loaded() {
+fn adapter_is_requested_where_its_model_is_loaded() {
     let mut dispatcher = Dispatcher::new(DispatchSettings {
         centre: Name::from("north"),
         pool: Name::from("models"),
@@ -57,7 +59,7 @@
     for centre in ["north", "south"] {
         dispatcher.handle(Time::ZERO, runner(centre, 1, &[]), &mut Vec::new());
     }
-    let wanted = Work {
+    let request = DispatchRequest {
         id: 1,
         customer: Name::from("daily"),
         weight: 1,
@@ -65,10 +67,10 @@
         adapter: Some(Name::from("strip:ink")),
         tokens: 100,
         deadline: Time::from_millis(60_000),
-        ..Work::default()
+        ..DispatchRequest::default()
     };
-    dispatcher.handle(Time::ZERO, DispatchEvent::Arrived(wanted), &mut Vec::new());
-    let asked = pass(&mut dispatcher, 250, false);
+    dispatcher.handle(Time::ZERO, DispatchEvent::Arrived(request), &mut Vec::new());
+    let asked = advance(&mut dispatcher, 250, false);
     assert!(asked.contains(&Name::from("north")), "{asked:?}");
     assert!(asked.contains(&Name::from("south")), "{asked:?}");
     for centre in ["north", "south"] {
@@ -79,10 +81,10 @@
             runner(other, sequence, &[]),
             &mut Vec::new(),
         );
-        let has = runner(centre, sequence, &["strip"]);
-        dispatcher.handle(Time::from_millis(1_250), has, &mut Vec::new());
-        let asked = pass(&mut dispatcher, sequence * 1_000, true);
-        let last = asked.last().expect("the router goes on asking");
-        assert_eq!(last.as_str(), centre, "the model is in {centre}");
+        let announcement = runner(centre, sequence, &["strip"]);
+        dispatcher.handle(Time::from_millis(1_250), announcement, &mut Vec::new());
+        let asked = advance(&mut dispatcher, sequence * 1_000, true);
+        let last = asked.last().expect("the router keeps sending demands");
+        assert_eq!(last.as_str(), centre, "the model is loaded in {centre}");
     }
 }
--- a/crates/sequoiawing_policy/tests/services.rs
+++ b/crates/sequoiawing_policy/tests/services.rs
@@ -1,8 +1,9 @@
-//! Requests of plain services are refused at once when nothing can serve them.
+//! Tests that requests for plain services are refused immediately when no
+//! upstream can serve them.
 
 use sequoiawing_fleet::{UpstreamKind, UpstreamState};
 use sequoiawing_policy::{
-    DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, Refusal, Work,
+    DispatchAction, DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher, Refusal,
 };
 use sequoiawing_types::{Name, Time};
 
@@ -20,18 +21,18 @@
     }
 }
 
-fn work(id: u64) -> DispatchEvent {
-    DispatchEvent::Arrived(Work {
+fn request(id: u64) -> DispatchEvent {
+    DispatchEvent::Arrived(DispatchRequest {
         id,
         customer: Name::from("daily"),
         weight: 1,
         tokens: 1,
         deadline: Time::from_millis(30_000),
-        ..Work::default()
+        ..DispatchRequest::default()
     })
 }
 
-/// Returns the requests that were refused for want of an upstream.
+/// Returns the requests that were refused because there is no upstream.
 fn refused(actions: &[DispatchAction]) -> Vec<u64> {
     let refused = actions.iter().filter_map(|action| match action {
         DispatchAction::Refuse {
@@ -45,15 +46,15 @@
 }
 
 #[test]
-fn a_request_of_a_pool_without_upstreams_is_refused_at_once() {
+fn request_for_empty_pool_is_refused_immediately() {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default());
     let mut out = Vec::new();
-    dispatcher.handle(Time::from_millis(1), work(1), &mut out);
+    dispatcher.handle(Time::from_millis(1), request(1), &mut out);
     assert_eq!(refused(&out), [1]);
 }
 
 #[test]
-fn waiting_requests_are_refused_when_the_last_upstream_leaves() {
+fn queued_requests_are_refused_when_last_upstream_leaves() {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default());
     let mut out = Vec::new();
     let now = Time::from_millis(1);
@@ -62,9 +63,12 @@
         DispatchEvent::Announced(service(1, false).into()),
         &mut out,
     );
-    dispatcher.handle(now, work(1), &mut out);
-    dispatcher.handle(now, work(2), &mut out);
-    assert!(refused(&out).is_empty(), "one runs and one waits: {out:?}");
+    dispatcher.handle(now, request(1), &mut out);
+    dispatcher.handle(now, request(2), &mut out);
+    assert!(
+        refused(&out).is_empty(),
+        "one request runs and one is queued: {out:?}"
+    );
     dispatcher.handle(
         now,
         DispatchEvent::Announced(service(2, true).into()),
--- a/crates/sequoiawing_router/src/attempt.rs
+++ b/crates/sequoiawing_router/src/attempt.rs
@@ -18,7 +18,7 @@
     http::response::Parts,
 };
 use sequoiawing_http::{Body, ClientBody, ClientError, from_bytes, remove_hop_headers};
-use sequoiawing_policy::Work;
+use sequoiawing_policy::DispatchRequest;
 use sequoiawing_runtime::timeout;
 use sequoiawing_types::{Name, Ran, Time};
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc, time::Duration};
@@ -105,7 +105,7 @@
     body: Bytes,
     nonce: String,
     pub(crate) request: Name,
-    pub(crate) work: Work,
+    pub(crate) work: DispatchRequest,
     pub(crate) repeatable: bool,
     pub(crate) resumable: bool,
     pub(crate) stream: bool,
@@ -136,8 +136,8 @@
     }
 
     /// Returns the work of the next attempt.
-    pub(crate) fn work(&self, id: u64, deadline: Time, avoid: Vec<Name>) -> Work {
-        Work {
+    pub(crate) fn work(&self, id: u64, deadline: Time, avoid: Vec<Name>) -> DispatchRequest {
+        DispatchRequest {
             id,
             deadline,
             avoid,
@@ -166,8 +166,8 @@
     }
 }
 
-fn work(exchange: &Exchange) -> Work {
-    Work {
+fn work(exchange: &Exchange) -> DispatchRequest {
+    DispatchRequest {
         id: 0,
         customer: exchange.customer_name(),
         weight: exchange.customer.as_ref().map_or(1, |c| c.weight),
--- a/crates/sequoiawing_router/src/controllers/placement.rs
+++ b/crates/sequoiawing_router/src/controllers/placement.rs
@@ -317,7 +317,7 @@
             let answered = ask_leader(&state, &leader, demand).await;
             if let Some(state) = answered {
                 let model = target;
-                shard.event(DispatchEvent::Decided { model, state });
+                shard.event(DispatchEvent::DemandAnswered { model, state });
             }
         })
         .detach();
--- a/crates/sequoiawing_router/src/shard.rs
+++ b/crates/sequoiawing_router/src/shard.rs
@@ -4,7 +4,7 @@
 use parking_lot::Mutex;
 use sequoiawing_fleet::{Demand, UpstreamState};
 use sequoiawing_policy::{
-    DispatchAction, DispatchEvent, DispatchSettings, Dispatcher, Refusal, Work,
+    DispatchAction, DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher, Refusal,
 };
 use sequoiawing_runtime::Clock;
 use sequoiawing_types::{Name, Time};
@@ -108,7 +108,7 @@
     /// Returns the reason and when to ask again; nothing was sent.
     pub(crate) async fn wait(
         self: &Arc<Self>,
-        work: Work,
+        work: DispatchRequest,
     ) -> Result<Assignment, (Refusal, Duration)> {
         let (sender, receiver) = async_channel::bounded(1);
         let id = work.id;
@@ -168,7 +168,7 @@
                 DispatchAction::Refuse { id, reason, retry } => {
                     reply(inner, id, Verdict::Refused(reason, retry));
                 }
-                DispatchAction::Ask(demand) => {
+                DispatchAction::SendDemand(demand) => {
                     self.demands.try_send(demand).ok();
                 }
             }
--- a/crates/sequoiawing_router/src/state.rs
+++ b/crates/sequoiawing_router/src/state.rs
@@ -298,7 +298,7 @@
                 host: self.settings.host.clone(),
                 centre: self.settings.centre.clone(),
                 pool: pool.clone(),
-                queue: self.settings.queue,
+                queue_limit: self.settings.queue,
                 ..DispatchSettings::default()
             };
             Arc::new(PoolShard::new(
--- a/tools/capacity/src/machines.rs
+++ b/tools/capacity/src/machines.rs
@@ -97,7 +97,7 @@
 
 pub(crate) fn queue(count: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatchSettings {
-        queue: usize::MAX,
+        queue_limit: usize::MAX,
         ..DispatchSettings::default()
     });
     let mut out = Vec::new();
--- a/tools/capacity/src/samples.rs
+++ b/tools/capacity/src/samples.rs
@@ -7,7 +7,7 @@
 use sequoiawing_cell::{CellReply, CellRequest, RequestKind, Version};
 use sequoiawing_consensus::{Entry, Envelope, Message, Payload, Position, ReplicaId};
 use sequoiawing_fleet::{CustomerDemand, Demand, Order, OrderKind, UpstreamState};
-use sequoiawing_policy::Work;
+use sequoiawing_policy::DispatchRequest;
 use sequoiawing_tables::{
     Access, BearerKey, Change, Claim, ClaimId, ClaimState, Command, Customer, KeyId, Model, Pool,
     Revision, Route, RouterHost, Tables, Update,
@@ -184,15 +184,15 @@
 }
 
 /// Builds a request for a model that the first runners have loaded.
-pub(crate) fn work(id: u64) -> Work {
-    Work {
+pub(crate) fn work(id: u64) -> DispatchRequest {
+    DispatchRequest {
         id,
         customer: name("customer", 1),
         weight: 1,
         model: Some(name("model", 1)),
         tokens: 512,
         deadline: Time::ZERO + Duration::from_hours(1),
-        ..Work::default()
+        ..DispatchRequest::default()
     }
 }
 
