--- a/crates/sequoiawing_bench/src/policies.rs
+++ b/crates/sequoiawing_bench/src/policies.rs
@@ -1,7 +1,7 @@
 use sequoiawing_policy::{
-    AffinityChoice, ChooseUpstream, FairDeadline, FairTokens, FirstCome, FirstFit, FixedKeepAlive,
+    AffinityChoice, ChooseUpstream, FairDeadline, FairQueueing, Fifo, FirstFit, FixedKeepAlive,
     KeepAliveSettings, LearnedKeepAlive, LeastLoad, LeastRecentlyUsed, OldestFirst, OnePerRouter,
-    PlacePolicies, ShareService,
+    PlacePolicies, QueueDiscipline,
 };
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     /// What ships.
     Chosen,
     /// First come, first served; one load a request queue; no locality.
-    FirstCome,
+    Fifo,
     /// What ships, with a fixed keep-alive of ten minutes.
     FixedIdle,
     /// What ships, without shares between customers.
@@ -37,7 +37,7 @@
     /// All policies, by the names under which they are reported.
     pub const ALL: [(&'static str, Self); 5] = [
         ("chosen", Self::Chosen),
-        ("first-come", Self::FirstCome),
+        ("first-come", Self::Fifo),
         ("fixed-idle", Self::FixedIdle),
         ("no-fairness", Self::NoFairness),
         ("split-rates", Self::SplitRates),
@@ -59,20 +59,20 @@
 
     /// Reports whether routers ask the leaders of other data centres.
     pub(crate) fn roams(self) -> bool {
-        self != Self::FirstCome
+        self != Self::Fifo
     }
 
     pub(crate) fn choice(self, seed: u64) -> Box<dyn ChooseUpstream> {
         match self {
-            Self::FirstCome => Box::new(LeastLoad),
+            Self::Fifo => Box::new(LeastLoad),
             _ => Box::new(AffinityChoice::new(seed)),
         }
     }
 
-    pub(crate) fn share(self) -> Box<dyn ShareService> {
+    pub(crate) fn share(self) -> Box<dyn QueueDiscipline> {
         match self {
-            Self::FirstCome | Self::NoFairness => Box::new(FirstCome::default()),
-            _ => Box::new(FairTokens::default()),
+            Self::Fifo | Self::NoFairness => Box::new(Fifo::default()),
+            _ => Box::new(FairQueueing::default()),
         }
     }
 
@@ -83,7 +83,7 @@
             ..PlacePolicies::default()
         };
         match self {
-            Self::FirstCome => PlacePolicies {
+            Self::Fifo => PlacePolicies {
                 replicas: Box::new(OnePerRouter),
                 sequence: Box::new(OldestFirst),
                 placement: Box::new(FirstFit),
--- a/crates/sequoiawing_gateway/src/attempt.rs
+++ b/crates/sequoiawing_gateway/src/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::{Request, Response, Uri, http::response::Parts};
 use sequoiawing_catalog::Repeat;
 use sequoiawing_http::{Body, ClientBody, ClientError, empty, from_bytes};
-use sequoiawing_policy::serving::Ended;
+use sequoiawing_policy::serving::AttemptOutcome;
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
 
@@ -54,18 +54,21 @@
         match timeout(silence_timeout.unwrap_or(remaining), Box::pin(receiving)).await {
             None if silence_timeout.is_some() => {
                 let cause = "the upstream is silent".to_owned();
-                (Ended::Missed, Err(AttemptError::MayHaveRun(cause)))
+                (
+                    AttemptOutcome::Unreachable,
+                    Err(AttemptError::MayHaveRun(cause)),
+                )
             }
-            None => (Ended::Failed, Err(AttemptError::TimedOut)),
+            None => (AttemptOutcome::Failed, Err(AttemptError::TimedOut)),
             Some(Ok(Received::Stream(parts, body))) => {
                 return Ok(UpstreamResponse::Stream(parts, body, slot));
             }
             Some(Ok(Received::Buffered(parts, bytes))) => {
                 let is_server_error = parts.status.is_server_error();
                 let ended = if is_server_error {
-                    Ended::Failed
+                    AttemptOutcome::Failed
                 } else {
-                    Ended::Well
+                    AttemptOutcome::Succeeded
                 };
                 (ended, Ok(UpstreamResponse::Buffered(parts, bytes)))
             }
@@ -77,13 +80,13 @@
 
 impl AttemptError {
     /// Returns the outcome that the balancer records for the upstream.
-    fn ended(&self) -> Ended {
+    fn ended(&self) -> AttemptOutcome {
         match self {
-            Self::NotRun(ResponseKind::Full) => Ended::Full,
-            Self::NotRun(ResponseKind::Lacking) => Ended::Lacking,
-            Self::TimedOut => Ended::Failed,
-            Self::MayHaveRun(_) => Ended::Broken,
-            Self::NotSent(_) | Self::NotRun(_) => Ended::Missed,
+            Self::NotRun(ResponseKind::Full) => AttemptOutcome::Full,
+            Self::NotRun(ResponseKind::Lacking) => AttemptOutcome::ModelMissing,
+            Self::TimedOut => AttemptOutcome::Failed,
+            Self::MayHaveRun(_) => AttemptOutcome::Aborted,
+            Self::NotSent(_) | Self::NotRun(_) => AttemptOutcome::Unreachable,
         }
     }
 }
--- a/crates/sequoiawing_gateway/src/exchange.rs
+++ b/crates/sequoiawing_gateway/src/exchange.rs
@@ -2,7 +2,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, Uri, body::Incoming, header::HOST};
 use sequoiawing_catalog::{CatalogIndex, CatalogRoute, Client};
-use sequoiawing_policy::serving::ServingWork;
+use sequoiawing_policy::serving::BalancerRequest;
 use sequoiawing_types::{Name, Time};
 use std::{sync::Arc, time::Duration};
 
@@ -99,8 +99,8 @@
     }
 
     /// Returns what the balancer needs to choose an upstream.
-    pub(crate) fn work(&self) -> ServingWork {
-        ServingWork {
+    pub(crate) fn work(&self) -> BalancerRequest {
+        BalancerRequest {
             pool: self.pool.clone(),
             model: self.meta.model.clone(),
             adapter: self.meta.adapter.clone(),
--- a/crates/sequoiawing_gateway/src/filters/forward.rs
+++ b/crates/sequoiawing_gateway/src/filters/forward.rs
@@ -8,7 +8,7 @@
 use hyper::Response;
 use sequoiawing_catalog::Repeat;
 use sequoiawing_http::Body;
-use sequoiawing_policy::serving::ServingWork;
+use sequoiawing_policy::serving::BalancerRequest;
 use sequoiawing_router::{Answer, Code, Filter, Next, Refused};
 use sequoiawing_types::Ran;
 use std::{sync::Arc, time::Duration};
@@ -33,7 +33,7 @@
 
 /// The progress of a request through its attempts.
 struct Progress {
-    work: ServingWork,
+    work: BalancerRequest,
     /// The number of times the request was sent.
     attempts: u32,
     /// The number of failed connects.
@@ -68,7 +68,7 @@
                 route = exchange.route.name.as_str(), version = exchange.index.version(),
                 model = exchange.model(), customer = exchange.customer(),
                 upstream = upstream.as_str(), load = slot.assigned.load,
-                missing = slot.assigned.missing, attempt = progress.attempts + 1,
+                missing = slot.assigned.uncached, attempt = progress.attempts + 1,
                 waited_ms = exchange.millis_since_arrival(self.state.now());
                 "Sending request to an upstream."
             );
--- a/crates/sequoiawing_gateway/src/filters/rate_limit.rs
+++ b/crates/sequoiawing_gateway/src/filters/rate_limit.rs
@@ -28,7 +28,7 @@
                     target: "gateway", request = exchange.meta.id.as_str(),
                     customer = customer.name.as_str(), units = units, rate = customer.rate,
                     burst = customer.burst, used_here = self.state.usage_of(&customer.name),
-                    hosts = view.hosts, missing = view.missing, cut_off = view.is_cut_off;
+                    hosts = view.hosts, missing = view.missing, cut_off = view.is_isolated;
                     "Request exceeds the customer's rate limit."
                 );
                 let problem = "the customer's rate and burst are used up";
--- a/crates/sequoiawing_gateway/src/hub_sync.rs
+++ b/crates/sequoiawing_gateway/src/hub_sync.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use sequoiawing_fleet::Cursor;
 use sequoiawing_link::{GatewayReport, HubClient, HubFacts, HubNews, Secret, Stub};
-use sequoiawing_policy::serving::{HubFact, HubRole};
+use sequoiawing_policy::serving::{HubRole, HubStatus};
 use sequoiawing_runtime::{Shutdown, Task, sleep, spawn};
 use std::{
     collections::HashMap,
@@ -144,7 +144,7 @@
     async fn report_urgent(&self) -> bool {
         loop {
             self.state.urgent_report.listen().await;
-            let delay = self.state.hubs.lock().pause();
+            let delay = self.state.hubs.lock().report_interval();
             sleep(delay).await;
             self.report(Duration::ZERO, true).await;
         }
@@ -195,7 +195,7 @@
 
     /// Records the hub's facts and the other hubs that it lists.
     fn update_hub(&self, facts: HubFacts) {
-        let fact = HubFact {
+        let fact = HubStatus {
             centre: facts.centre,
             leads: facts.leads,
             age: Duration::from_millis(facts.age),
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -11,7 +11,7 @@
 use hyper::{Response, http::response::Parts};
 use sequoiawing_catalog::Repeat;
 use sequoiawing_http::{Body, BodyError, ClientBody, Events, from_stream, remove_hop_headers};
-use sequoiawing_policy::serving::{Ended, ServingWork};
+use sequoiawing_policy::serving::{AttemptOutcome, BalancerRequest};
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
 struct StreamRelay {
     state: Arc<GatewayState>,
     exchange: Arc<GatewayExchange>,
-    work: ServingWork,
+    work: BalancerRequest,
     /// The number of times the request was sent.
     attempts: u32,
     source: Option<(ClientBody, Slot)>,
@@ -48,7 +48,7 @@
 pub(crate) fn relay(
     state: Arc<GatewayState>,
     exchange: GatewayExchange,
-    work: ServingWork,
+    work: BalancerRequest,
     attempts: u32,
     response: (Parts, ClientBody, Slot),
 ) -> Response<Body> {
@@ -91,7 +91,7 @@
                 }
                 None => {
                     return Some(Err(
-                        self.abort(Ended::Failed, "the request's deadline has passed")
+                        self.abort(AttemptOutcome::Failed, "the request's deadline has passed")
                     ));
                 }
             };
@@ -103,7 +103,7 @@
                 }
                 ReadResult::Broken(cause) => {
                     if !self.fail_over(&cause).await {
-                        return Some(Err(self.abort(Ended::Broken, &cause)));
+                        return Some(Err(self.abort(AttemptOutcome::Aborted, &cause)));
                     }
                 }
             }
@@ -136,7 +136,7 @@
             return;
         };
         // Closing the connection ends the former run before the next begins.
-        self.drop_source(Ended::Missed, "the upstream is silent");
+        self.drop_source(AttemptOutcome::Unreachable, "the upstream is silent");
         self.resume_at(slot).await;
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Closes the stream of the current upstream and excludes it from retries.
-    fn drop_source(&mut self, ended: Ended, cause: &str) {
+    fn drop_source(&mut self, ended: AttemptOutcome, cause: &str) {
         let Some((_, mut slot)) = self.source.take() else {
             return;
         };
@@ -183,7 +183,7 @@
     /// Resumes the stream after its last complete event at another upstream;
     /// returns whether one was found.
     async fn fail_over(&mut self, cause: &str) -> bool {
-        self.drop_source(Ended::Broken, cause);
+        self.drop_source(AttemptOutcome::Aborted, cause);
         let route = &self.exchange.route;
         if route.repeat != Repeat::Resumable {
             return false;
@@ -235,7 +235,7 @@
         false
     }
 
-    fn abort(&mut self, ended: Ended, cause: &str) -> BodyError {
+    fn abort(&mut self, ended: AttemptOutcome, cause: &str) -> BodyError {
         if let Some((_, slot)) = self.source.take() {
             slot.release(ended);
         }
@@ -246,7 +246,7 @@
 
     fn finish(&mut self, cause: &str) {
         if let Some((_, slot)) = self.source.take() {
-            slot.release(Ended::Well);
+            slot.release(AttemptOutcome::Succeeded);
         }
         self.is_finished = true;
         self.log("whole", cause);
--- a/crates/sequoiawing_gateway/src/slots.rs
+++ b/crates/sequoiawing_gateway/src/slots.rs
@@ -2,7 +2,9 @@
 
 use crate::{GatewayExchange, GatewayState, state::DemandEvent};
 use futures_lite::FutureExt;
-use sequoiawing_policy::serving::{Assigned, Ended, Pick, ReportedLoad, ServingWork};
+use sequoiawing_policy::serving::{
+    Assignment, AttemptOutcome, BalancerRequest, PickResult, ReportedLoad,
+};
 use sequoiawing_router::{Code, Refused};
 use sequoiawing_runtime::sleep;
 use sequoiawing_types::{Name, Time};
@@ -35,8 +37,8 @@
 /// A slot for one request at an upstream, released on drop.
 pub(crate) struct Slot {
     state: Arc<GatewayState>,
-    pub(crate) assigned: Assigned,
-    ended: Ended,
+    pub(crate) assigned: Assignment,
+    ended: AttemptOutcome,
 }
 
 impl Slot {
@@ -51,12 +53,12 @@
     }
 
     /// Releases the slot with the outcome of the request.
-    pub(crate) fn release(mut self, ended: Ended) {
+    pub(crate) fn release(mut self, ended: AttemptOutcome) {
         self.ended = ended;
     }
 
     /// Sets the outcome that is recorded when the slot is released.
-    pub(crate) fn set_ended(&mut self, ended: Ended) {
+    pub(crate) fn set_ended(&mut self, ended: AttemptOutcome) {
         self.ended = ended;
     }
 }
@@ -86,18 +88,18 @@
     }
 
     /// Returns a slot if one is available now.
-    pub(crate) fn try_acquire(&self, work: &ServingWork) -> Option<Slot> {
+    pub(crate) fn try_acquire(&self, work: &BalancerRequest) -> Option<Slot> {
         match self.state.pick(work) {
-            Pick::Send(assigned) => Some(self.slot(assigned)),
+            PickResult::Assigned(assigned) => Some(self.slot(assigned)),
             _ => None,
         }
     }
 
-    fn slot(&self, assigned: Assigned) -> Slot {
+    fn slot(&self, assigned: Assignment) -> Slot {
         Slot {
             state: self.state.clone(),
             assigned,
-            ended: Ended::Left,
+            ended: AttemptOutcome::Cancelled,
         }
     }
 
@@ -106,19 +108,19 @@
     /// # Errors
     ///
     /// Returns a refusal when no slot became available.
-    pub(crate) async fn acquire(&mut self, work: &ServingWork) -> Result<Slot, Refused> {
+    pub(crate) async fn acquire(&mut self, work: &BalancerRequest) -> Result<Slot, Refused> {
         loop {
             let changed = self.state.upstreams_changed.listen();
             let (until, refused) = match self.state.pick(work) {
-                Pick::Send(assigned) => return Ok(self.slot(assigned)),
-                Pick::Full(retry) => {
+                PickResult::Assigned(assigned) => return Ok(self.slot(assigned)),
+                PickResult::Full(retry) => {
                     self.record_demand(work, DemandEvent::Saturated);
                     let problem = "all upstreams that can serve the request are full";
                     let refused = Refused::new(Code::Overloaded, problem).with_retry(retry);
                     (self.capacity_deadline(), refused)
                 }
-                Pick::Absent => self.wait_for_model(work),
-                Pick::Empty => {
+                PickResult::NotLoaded => self.wait_for_model(work),
+                PickResult::NoUpstream => {
                     let problem = "no upstream of the pool is known";
                     let refused =
                         Refused::new(Code::NoUpstream, problem).with_retry(NO_UPSTREAM_RETRY);
@@ -141,7 +143,7 @@
     }
 
     /// Records unmet demand for the hubs, once per request.
-    fn record_demand(&mut self, work: &ServingWork, event: DemandEvent) {
+    fn record_demand(&mut self, work: &BalancerRequest, event: DemandEvent) {
         if !self.is_demand_recorded {
             self.is_demand_recorded = true;
             self.state.record_demand(work, event);
@@ -155,7 +157,7 @@
 
     /// Returns the time until which a request waits for a model that no upstream
     /// has loaded, and the refusal after it.
-    fn wait_for_model(&mut self, work: &ServingWork) -> (Time, Refused) {
+    fn wait_for_model(&mut self, work: &BalancerRequest) -> (Time, Refused) {
         self.record_demand(work, DemandEvent::ModelMissing);
         let now = self.state.now();
         let name = work.adapter.as_ref().or(work.model.as_ref());
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -7,8 +7,8 @@
 use sequoiawing_http::Client as HttpClient;
 use sequoiawing_link::{DemandBatch, HubNews, ModelDemand, OrderedLoads, PlannedLoad};
 use sequoiawing_policy::serving::{
-    Assigned, Balancer, Ended, HubChoice, HubFact, HubRole, Pick, RateView, ReportedLoad,
-    RetryWindow, ServingWork, SharedRate,
+    Assignment, AttemptOutcome, Balancer, BalancerRequest, HubRole, HubSelector, HubStatus,
+    PeerView, PickResult, ReportedLoad, RetryWindow, SharedTokenBucket,
 };
 use sequoiawing_runtime::Clock;
 use sequoiawing_telemetry::Meters;
@@ -119,11 +119,11 @@
     index: ArcSwap<CatalogIndex>,
     roster: Mutex<Roster>,
     balancer: Mutex<Balancer>,
-    rates: Mutex<HashMap<Name, SharedRate>>,
+    rates: Mutex<HashMap<Name, SharedTokenBucket>>,
     retries: Mutex<HashMap<Name, RetryWindow>>,
     demand: Mutex<DemandQueue>,
     cluster: Mutex<ClusterView>,
-    pub(crate) hubs: Mutex<HubChoice>,
+    pub(crate) hubs: Mutex<HubSelector>,
     /// Notified when the roles of hubs may have changed.
     pub(crate) hubs_changed: Event,
     /// Whether shutdown has begun.
@@ -138,7 +138,7 @@
 impl GatewayState {
     pub(crate) fn new(settings: GatewaySettings, dialect: Arc<dyn Dialect>) -> Self {
         let idle = Duration::from_millis(settings.upstream_idle);
-        let mut hubs = HubChoice::new(settings.centre.clone(), rand::random());
+        let mut hubs = HubSelector::new(settings.centre.clone(), rand::random());
         for hub in &settings.hubs {
             hubs.add(Time::ZERO, *hub, true);
         }
@@ -184,14 +184,14 @@
     }
 
     /// Returns the gateways that share the rate limits.
-    fn rate_view(&self, now: Time) -> RateView {
+    fn rate_view(&self, now: Time) -> PeerView {
         let cluster = self.cluster.lock();
         let last_response = cluster.hubs.values().map(|h| h.last_response).max();
         let last_response = last_response.unwrap_or(Time::ZERO);
-        RateView {
+        PeerView {
             hosts: cluster.gateways,
             missing: cluster.missing,
-            is_cut_off: now.since(last_response) > DISCONNECTED_AFTER,
+            is_isolated: now.since(last_response) > DISCONNECTED_AFTER,
         }
     }
 
@@ -201,7 +201,7 @@
     ///
     /// Returns the retry delay and the state of the other hosts when the
     /// customer's rate is exceeded.
-    pub(crate) fn charge(&self, customer: &Client, units: u64) -> Result<(), (Duration, RateView)> {
+    pub(crate) fn charge(&self, customer: &Client, units: u64) -> Result<(), (Duration, PeerView)> {
         if !customer.is_limited() {
             return Ok(());
         }
@@ -210,7 +210,7 @@
         let mut rates = self.rates.lock();
         let rate = rates
             .entry(customer.name.clone())
-            .or_insert_with(|| SharedRate::new(now, customer.rate, customer.burst));
+            .or_insert_with(|| SharedTokenBucket::new(now, customer.rate, customer.burst));
         let admitted = rate.admit(now, units, rate_view);
         drop(rates);
         if admitted.is_err() {
@@ -222,13 +222,13 @@
     /// Returns the units that a customer has used at this gateway.
     pub(crate) fn usage_of(&self, customer: &Name) -> u64 {
         let rates = self.rates.lock();
-        rates.get(customer).map_or(0, SharedRate::used)
+        rates.get(customer).map_or(0, SharedTokenBucket::used)
     }
 
     /// Refunds the units of a request that did not run.
     pub(crate) fn refund(&self, customer: &Client, units: u64) {
         if let Some(rate) = self.rates.lock().get_mut(&customer.name) {
-            rate.give_back(units);
+            rate.refund(units);
         }
     }
 
@@ -237,7 +237,7 @@
         let (now, limits) = (self.now(), self.settings.retry_limits());
         let mut retries = self.retries.lock();
         let window = retries.entry(pool.clone()).or_default();
-        window.note_request(now, &limits);
+        window.record_request(now, &limits);
     }
 
     /// Takes a retry from the pool's budget; returns whether one was left.
@@ -246,11 +246,11 @@
         let hosts = self.cluster.lock().gateways;
         let mut retries = self.retries.lock();
         let window = retries.entry(pool.clone()).or_default();
-        window.take(now, &limits, hosts)
+        window.try_retry(now, &limits, hosts)
     }
 
     /// Adds an event to the demand for the request's model.
-    pub(crate) fn record_demand(&self, work: &ServingWork, event: DemandEvent) {
+    pub(crate) fn record_demand(&self, work: &BalancerRequest, event: DemandEvent) {
         let Some(model) = &work.model else {
             return;
         };
@@ -308,8 +308,8 @@
     pub(crate) fn record_hub_failure(&self, hub: SocketAddr) -> bool {
         let now = self.now();
         let mut hubs = self.hubs.lock();
-        hubs.fail(now, hub);
-        let is_removed = hubs.forget(now, hub);
+        hubs.record_failure(now, hub);
+        let is_removed = hubs.remove_silent(now, hub);
         let has_changed = hubs.has_changed(now);
         drop(hubs);
         if has_changed {
@@ -319,13 +319,13 @@
     }
 
     /// Records a hub's facts and adds the other hubs that it lists.
-    pub(crate) fn update_hub(&self, hub: SocketAddr, fact: HubFact, hosts: &[IpAddr]) {
+    pub(crate) fn update_hub(&self, hub: SocketAddr, fact: HubStatus, hosts: &[IpAddr]) {
         let now = self.now();
         let mut hubs = self.hubs.lock();
         for host in hosts {
             hubs.add(now, SocketAddr::new(*host, hub.port()), false);
         }
-        hubs.hear(now, hub, fact);
+        hubs.record_answer(now, hub, fact);
         let has_changed = hubs.has_changed(now);
         drop(hubs);
         if has_changed {
@@ -336,7 +336,7 @@
     /// Returns the estimated time until the load of a missing model is known
     /// here.
     pub(crate) fn propagation_delay(&self) -> Duration {
-        PROPAGATION_TIME + self.hubs.lock().pause() * PROPAGATION_REPORTS
+        PROPAGATION_TIME + self.hubs.lock().report_interval() * PROPAGATION_REPORTS
     }
 
     /// Returns the delay before the next call to a hub.
@@ -344,9 +344,9 @@
         let now = self.now();
         let hubs = self.hubs.lock();
         if hubs.role(now, hub) == HubRole::Probed {
-            hubs.probe_pause(now, hub)
+            hubs.probe_interval(now, hub)
         } else {
-            hubs.pause()
+            hubs.report_interval()
         }
     }
 
@@ -358,7 +358,7 @@
     }
 
     /// Chooses an upstream for a request.
-    pub(crate) fn pick(&self, work: &ServingWork) -> Pick {
+    pub(crate) fn pick(&self, work: &BalancerRequest) -> PickResult {
         self.balancer.lock().pick(self.now(), work)
     }
 
@@ -373,18 +373,18 @@
     }
 
     /// Records the load that an upstream reported.
-    pub(crate) fn report_load(&self, assigned: &Assigned, load: ReportedLoad) {
+    pub(crate) fn report_load(&self, assigned: &Assignment, load: ReportedLoad) {
         let mut balancer = self.balancer.lock();
         balancer.report(self.now(), assigned.key, load);
     }
 
     /// Releases the slot of a request with its outcome.
-    pub(crate) fn release(&self, assigned: &Assigned, ended: Ended) {
+    pub(crate) fn release(&self, assigned: &Assignment, ended: AttemptOutcome) {
         self.balancer.lock().end(self.now(), assigned.key, ended);
-        if matches!(ended, Ended::Missed | Ended::Broken) {
+        if matches!(ended, AttemptOutcome::Unreachable | AttemptOutcome::Aborted) {
             self.client.forget(assigned.address);
         }
-        if ended == Ended::Missed {
+        if ended == AttemptOutcome::Unreachable {
             self.urgent_report.notify(usize::MAX);
         }
         self.upstreams_changed.notify(usize::MAX);
@@ -488,9 +488,9 @@
         for limits in customers.filter(|c| c.is_limited()) {
             let rate = rates
                 .entry(limits.name.clone())
-                .or_insert_with(|| SharedRate::new(now, limits.rate, limits.burst));
+                .or_insert_with(|| SharedTokenBucket::new(now, limits.rate, limits.burst));
             let total = of(&used, &limits.name);
-            rate.hear(now, total, of(&own, &limits.name), is_new, rate_view);
+            rate.apply_update(now, total, of(&own, &limits.name), is_new, rate_view);
         }
     }
 
@@ -509,7 +509,7 @@
         );
         for pool in &catalog.pools {
             let kept = pool.engine.as_ref().map_or(0, |e| e.tokens);
-            balancer.set_kept(&pool.name, kept);
+            balancer.set_cache_tokens(&pool.name, kept);
         }
         self.index.store(Arc::new(CatalogIndex::new(catalog)));
         drop(balancer);
--- a/crates/sequoiawing_hub/src/loader.rs
+++ b/crates/sequoiawing_hub/src/loader.rs
@@ -201,7 +201,7 @@
     fn execute(&self, actions: Vec<LoaderAction>) {
         for action in actions {
             match action {
-                LoaderAction::Report(name) => self.request_report(name),
+                LoaderAction::QueryState(name) => self.request_report(name),
                 LoaderAction::Order {
                     engine,
                     kind,
@@ -270,7 +270,7 @@
             );
             let engine = name;
             sender
-                .send(LoaderEvent::Ordered { engine, reply })
+                .send(LoaderEvent::OrderAnswered { engine, reply })
                 .await
                 .ok();
         })
--- a/crates/sequoiawing_policy/src/lib.rs
+++ b/crates/sequoiawing_policy/src/lib.rs
@@ -1,19 +1,21 @@
-//! Decisions about dispatch, placement and idleness.
+//! Policies for dispatch, placement and keep-alive.
 //!
-//! Both machines are pure: they are told the time and every event, and return
-//! actions. A [`Dispatcher`] runs in each router and matches waiting requests
-//! with upstreams; a [`Placer`] runs in the leader of each cell and decides
-//! which models are loaded where. See [docs/design](../../../docs/design).
+//! All state machines are pure: they receive the time and every event, and
+//! return actions. A [`Dispatcher`] runs in each router and matches queued
+//! requests with upstreams; a [`Placer`] runs in the leader of each cell and
+//! decides which models are loaded where. See
+//! [docs/design](../../../docs/design).
 
 mod choice;
+mod discipline;
 mod dispatch;
 mod keep_alive;
 mod place;
+mod request;
 pub mod serving;
-mod share;
-mod work;
 
 pub use choice::{AffinityChoice, Candidate, ChooseUpstream, LeastLoad};
+pub use discipline::{FairQueueing, Fifo, MAX_PRIORITY, QueueDiscipline};
 pub use dispatch::{DispatchAction, DispatchEvent, DispatchSettings, Dispatcher};
 pub use keep_alive::{FixedKeepAlive, KeepAlive, KeepAliveSettings, LearnedKeepAlive, Preload};
 pub use place::{
@@ -22,11 +24,10 @@
     OnePerRouter, PlaceAction, PlaceEvent, PlacePolicies, PlaceSettings, Placement, Placer,
     RankVictims, ReplicaDemand, SequenceLoads, StoreUsage, TokenDemand, Victim,
 };
-pub use share::{FairTokens, FirstCome, MAX_PRIORITY, ShareService};
-pub use work::{Refusal, Work};
+pub use request::{DispatchRequest, Refusal};
 
-/// The types that users of the decisions import most.
+/// The most commonly used types.
 pub mod prelude {
-    pub use crate::{DispatchAction, DispatchEvent, Dispatcher};
-    pub use crate::{PlaceAction, PlaceEvent, Placer, Work};
+    pub use crate::{DispatchAction, DispatchEvent, DispatchRequest, Dispatcher};
+    pub use crate::{PlaceAction, PlaceEvent, Placer};
 }
