--- a/crates/sequoiawing_budget/examples/fast_path.rs
+++ b/crates/sequoiawing_budget/examples/fast_path.rs
@@ -1,7 +1,7 @@
 //! Measures, by hand, what a request costs that the purse covers:
 //! `cargo run --release -p sequoiawing_budget --example fast_path`.
 
-use sequoiawing_budget::{Admission, Purse, Refill, Reply, Timing};
+use sequoiawing_budget::{Admission, Refill, Reply, RouterBudget, Timing};
 use sequoiawing_types::Time;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::{
@@ -25,29 +25,29 @@
         ..Timing::default()
     };
     let now = Time::from_millis(1);
-    let purse = Purse::new(now, 1, Refill::PerSecond(0), timing);
-    let mut admission = Admission::new(purse, Duration::from_millis(200));
+    let budget = RouterBudget::new(now, 1, Refill::PerSecond(0), timing);
+    let mut admission = Admission::new(budget, Duration::from_millis(200));
     let mut stamp = 1;
     let mut granted = u64::from(u32::MAX);
-    let mut reply = move |ask: &sequoiawing_budget::Ask| {
+    let mut reply = move |request: &sequoiawing_budget::BorrowRequest| {
         stamp += 1;
         granted += 1;
         Reply {
-            lender: 1,
-            join: 1,
-            session: ask.session,
-            joined: ask.join == 1,
+            lender_term: 1,
+            invitation: 1,
+            session: request.session,
+            joined: request.invitation == 1,
             stamp: Time::from_millis(stamp),
-            sent: ask.sent,
+            sent: request.sent,
             lease: timing.lease,
             granted,
-            applied: ask.entries.last().map_or(0, |e| e.id),
+            applied: request.entries.last().map_or(0, |e| e.id),
             ..Reply::default()
         }
     };
     for _ in 0..3 {
-        let ask = admission.ask(now);
-        admission.hear(now, &reply(&ask));
+        let request = admission.borrow_request(now);
+        admission.handle_reply(now, &reply(&request));
     }
     let region = Region::new(ALLOCATOR);
     let start = Instant::now();
@@ -56,8 +56,8 @@
         let charge = decision.expect("it is covered").expect("it is admitted");
         admission.settle(now, charge, 40);
         if i % REPORT == 0 {
-            let ask = admission.ask(now);
-            admission.hear(now, &reply(&ask));
+            let request = admission.borrow_request(now);
+            admission.handle_reply(now, &reply(&request));
         }
     }
     let span = start.elapsed();
--- a/crates/sequoiawing_budget/src/admission.rs
+++ b/crates/sequoiawing_budget/src/admission.rs
@@ -1,4 +1,4 @@
-use crate::{Ask, Charge, Purse, Reply, Short};
+use crate::{BorrowRequest, Charge, ChargeError, Reply, RouterBudget};
 use sequoiawing_types::Time;
 use serde::Serialize;
 use std::{collections::VecDeque, time::Duration};
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
     /// The rate and burst are used up.
-    Spent(Duration),
+    Exhausted(Duration),
     /// No lender said in time whether there is credit.
-    Silent(Duration),
+    Unavailable(Duration),
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -31,39 +31,40 @@
 /// answer, until the data centre lends by itself.
 #[derive(Clone, Debug, Serialize)]
 pub struct Admission {
-    purse: Purse,
+    #[serde(rename = "purse")]
+    budget: RouterBudget,
     patience: Duration,
     waiting: VecDeque<Waiting>,
 }
 
 impl Admission {
     /// Returns an admission without waiting requests.
-    pub fn new(purse: Purse, patience: Duration) -> Self {
+    pub fn new(budget: RouterBudget, patience: Duration) -> Self {
         Self {
-            purse,
+            budget,
             patience,
             waiting: VecDeque::new(),
         }
     }
 
     /// Returns the purse.
-    pub fn purse(&self) -> &Purse {
-        &self.purse
+    pub fn budget(&self) -> &RouterBudget {
+        &self.budget
     }
 
     /// Sets the credit that is held beyond what requests need.
     pub fn set_reserve(&mut self, reserve: u64) {
-        self.purse.set_reserve(reserve);
+        self.budget.set_reserve(reserve);
     }
 
     /// Decides about a request, or keeps it waiting until [`Self::poll`]
     /// returns its `id`.
     pub fn request(&mut self, now: Time, id: u64, tokens: u64) -> Option<Decision> {
         if self.waiting.is_empty() {
-            match self.purse.reserve(now, tokens) {
+            match self.budget.charge(now, tokens) {
                 Ok(charge) => return Some(Ok(charge)),
-                Err(Short::Refused(retry)) => return Some(Err(Denial::Spent(retry))),
-                Err(Short::Ask) => {}
+                Err(ChargeError::Refused(retry)) => return Some(Err(Denial::Exhausted(retry))),
+                Err(ChargeError::AskLender) => {}
             }
         }
         let since = now;
@@ -73,35 +74,35 @@
             since,
             answered: None,
         });
-        self.count();
+        self.update_need();
         None
     }
 
     /// Forgets a request whose caller has left.
     pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|w| w.id != id);
-        self.count();
+        self.update_need();
     }
 
     /// Decides about the requests that waited.
     pub fn poll(&mut self, now: Time, out: &mut Vec<(u64, Decision)>) {
-        let answered = self.purse.answered();
+        let answered = self.budget.last_answer();
         for one in &mut self.waiting {
             if one.answered.is_none() && answered >= one.since {
                 one.answered = Some(answered);
             }
         }
         while let Some(first) = self.waiting.front() {
-            let decision = match self.purse.reserve(now, first.tokens) {
+            let decision = match self.budget.charge(now, first.tokens) {
                 Ok(charge) => Ok(charge),
-                Err(Short::Refused(retry)) => Err(Denial::Spent(retry)),
-                Err(Short::Ask) if self.is_over(now, first) => Err(self.denial(first)),
-                Err(Short::Ask) => break,
+                Err(ChargeError::Refused(retry)) => Err(Denial::Exhausted(retry)),
+                Err(ChargeError::AskLender) if self.is_over(now, first) => Err(self.denial(first)),
+                Err(ChargeError::AskLender) => break,
             };
             out.push((first.id, decision));
             self.waiting.pop_front();
         }
-        self.count();
+        self.update_need();
     }
 
     /// Reports whether a request has waited long enough: for `patience` when
@@ -109,37 +110,37 @@
     fn is_over(&self, now: Time, waiting: &Waiting) -> bool {
         match waiting.answered {
             Some(answered) => now >= answered + self.patience,
-            None => now >= waiting.since + self.patience.max(self.purse.silence()),
+            None => now >= waiting.since + self.patience.max(self.budget.max_silence()),
         }
     }
 
     /// Tells why a request that has waited long enough was not charged.
     fn denial(&self, waiting: &Waiting) -> Denial {
-        if self.purse.unmet() >= waiting.since {
-            Denial::Spent(self.patience)
+        if self.budget.last_unmet() >= waiting.since {
+            Denial::Exhausted(self.patience)
         } else {
-            Denial::Silent(self.patience)
+            Denial::Unavailable(self.patience)
         }
     }
 
     /// Gives back what a request did not use.
     pub fn settle(&mut self, now: Time, charge: Charge, used: u64) {
-        self.purse.settle(now, charge, used);
+        self.budget.settle(now, charge, used);
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Time) {
-        self.purse.tick(now);
+        self.budget.tick(now);
     }
 
     /// Reports whether the cell leader should be asked now.
     pub fn is_due(&self, now: Time) -> bool {
-        self.purse.is_due(now)
+        self.budget.is_due(now)
     }
 
     /// Has the cell leader asked at once.
-    pub fn poke(&mut self) {
-        self.purse.poke();
+    pub fn mark_due(&mut self) {
+        self.budget.mark_due();
     }
 
     /// Reports whether requests wait.
@@ -148,18 +149,18 @@
     }
 
     /// Returns the message to the cell leader.
-    pub fn ask(&mut self, now: Time) -> Ask {
-        self.purse.ask(now)
+    pub fn borrow_request(&mut self, now: Time) -> BorrowRequest {
+        self.budget.borrow_request(now)
     }
 
     /// Takes in the cell leader's reply.
-    pub fn hear(&mut self, now: Time, reply: &Reply) {
-        self.purse.hear(now, reply);
+    pub fn handle_reply(&mut self, now: Time, reply: &Reply) {
+        self.budget.handle_reply(now, reply);
     }
 
-    fn count(&mut self) {
+    fn update_need(&mut self) {
         let need = self.waiting.iter().map(|w| w.tokens).sum();
-        let head = self.waiting.front().map_or(0, |w| w.tokens);
-        self.purse.set_need(need, head);
+        let head_need = self.waiting.front().map_or(0, |w| w.tokens);
+        self.budget.set_need(need, head_need);
     }
 }
--- a/crates/sequoiawing_budget/src/borrower.rs
+++ b/crates/sequoiawing_budget/src/borrower.rs
@@ -1,4 +1,4 @@
-use crate::{Ask, Reply, Share, Tag, Timing, journal::Journal};
+use crate::{BorrowRequest, Reply, Share, Tag, Timing, journal::Journal};
 use sequoiawing_types::Time;
 use serde::Serialize;
 
@@ -8,7 +8,7 @@
 
 /// What a reply means to a borrower.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Heard {
+pub(crate) enum ReplyOutcome {
     /// It is older than what the borrower knows.
     Stale,
     /// The borrower must settle what it holds and start a new session with
@@ -24,19 +24,24 @@
     timing: Timing,
     started: Time,
     session: u64,
-    lender: u64,
-    join: u64,
+    #[serde(rename = "lender")]
+    lender_term: u64,
+    #[serde(rename = "join")]
     invitation: u64,
+    #[serde(rename = "invitation")]
+    pending_invitation: u64,
     stamp: Time,
     /// When the last reply came.
-    pub(crate) heard: Time,
+    #[serde(rename = "heard")]
+    pub(crate) last_reply: Time,
     /// Whether the lender knew what it may lend when it last answered.
     pub(crate) ready: bool,
     /// Until when credit may be used.
     pub(crate) lease: Time,
     balance: u64,
     /// Whether credit accrued here since a lender last confirmed a session.
-    pub(crate) alone: bool,
+    #[serde(rename = "alone")]
+    pub(crate) autonomous: bool,
     granted: u64,
     returned: u64,
     pub(crate) journal: Journal,
@@ -53,15 +58,15 @@
             timing,
             started: now,
             session: incarnation << HOLDER_SHIFT,
-            lender: 0,
-            join: 0,
+            lender_term: 0,
             invitation: 0,
+            pending_invitation: 0,
             stamp: Time::ZERO,
-            heard: now,
+            last_reply: now,
             ready: false,
             lease: Time::ZERO,
             balance: 0,
-            alone: false,
+            autonomous: false,
             granted: 0,
             returned: 0,
             journal: Journal::default(),
@@ -71,57 +76,58 @@
     }
 
     /// Returns a message without needs.
-    pub(crate) fn ask(&mut self, now: Time) -> Ask {
-        Ask {
-            lender: self.lender,
-            join: self.join,
+    pub(crate) fn borrow_request(&mut self, now: Time) -> BorrowRequest {
+        BorrowRequest {
+            lender_term: self.lender_term,
+            invitation: self.invitation,
             session: self.session,
             stamp: self.stamp,
             sent: now,
             balance: self.balance,
-            alone: self.alone,
-            fresh: now < self.started + self.timing.late(),
+            autonomous: self.autonomous,
+            recent_takeover: now < self.started + self.timing.max_lease(),
             entries: self.journal.send(),
             returned: self.returned,
-            told: Time::ZERO,
+            need_since: Time::ZERO,
             need: 0,
-            head: 0,
+            head_need: 0,
             want: 0,
         }
     }
 
     /// Takes in a reply.
-    pub(crate) fn hear(&mut self, now: Time, reply: &Reply) -> Heard {
-        let is_old = reply.lender == self.lender && reply.stamp <= self.stamp;
-        if reply.lender < self.lender || is_old {
-            return Heard::Stale;
+    pub(crate) fn handle_reply(&mut self, now: Time, reply: &Reply) -> ReplyOutcome {
+        let is_old = reply.lender_term == self.lender_term && reply.stamp <= self.stamp;
+        if reply.lender_term < self.lender_term || is_old {
+            return ReplyOutcome::Stale;
         }
-        let is_invited = reply.lender != self.lender || reply.join != self.join;
-        self.lender = reply.lender;
+        let is_invited =
+            reply.lender_term != self.lender_term || reply.invitation != self.invitation;
+        self.lender_term = reply.lender_term;
         self.stamp = reply.stamp;
-        self.heard = now;
+        self.last_reply = now;
         self.share = reply.share;
         self.ready = reply.joined && reply.ready;
         if is_invited {
-            self.invitation = reply.join;
+            self.pending_invitation = reply.invitation;
             self.tag = reply.tag;
-            return Heard::Invited;
+            return ReplyOutcome::Invited;
         }
         if reply.session != self.session || !reply.joined {
-            return Heard::Granted(0);
+            return ReplyOutcome::Granted(0);
         }
         self.tag = reply.tag;
-        self.alone &= !reply.clean;
+        self.autonomous &= !reply.durable;
         self.lease = self.lease.max(reply.sent + reply.lease);
-        self.journal.applied(reply.applied);
-        let fresh = reply.granted.saturating_sub(self.granted);
-        self.granted += fresh;
-        Heard::Granted(fresh)
+        self.journal.acknowledge(reply.applied);
+        let new_credit = reply.granted.saturating_sub(self.granted);
+        self.granted += new_credit;
+        ReplyOutcome::Granted(new_credit)
     }
 
     /// Starts a new session that holds `balance`.
-    pub(crate) fn accept(&mut self, balance: u64) {
-        self.join = self.invitation;
+    pub(crate) fn start_session(&mut self, balance: u64) {
+        self.invitation = self.pending_invitation;
         self.session += 1;
         self.balance = balance;
         self.granted = 0;
@@ -130,14 +136,14 @@
     }
 
     /// Notes credit that will not be used here.
-    pub(crate) fn give_back(&mut self, tokens: u64) {
+    pub(crate) fn return_credit(&mut self, tokens: u64) {
         self.returned += tokens;
     }
 
     /// Leaves the lender until it answers again.
-    pub(crate) fn part(&mut self) {
-        self.join = 0;
-        self.alone = true;
+    pub(crate) fn disconnect(&mut self) {
+        self.invitation = 0;
+        self.autonomous = true;
     }
 
     /// Returns the holder's sessions so far, which never repeat.
@@ -151,14 +157,14 @@
     }
 
     /// Reports whether every lease that was passed on has run out.
-    pub(crate) fn has_lapsed(&self, now: Time) -> bool {
-        now >= self.lease + self.timing.late().saturating_sub(self.timing.lease)
+    pub(crate) fn has_expired(&self, now: Time) -> bool {
+        now >= self.lease + self.timing.max_lease().saturating_sub(self.timing.lease)
     }
 
     /// Reports whether nothing was heard from the lender for two leases: one
     /// until the owner notices, and one until what others were lent beyond
     /// their shares has run out.
-    pub(crate) fn is_cut_off(&self, now: Time) -> bool {
-        self.has_lapsed(now) && now >= self.heard + self.timing.lease * 2
+    pub(crate) fn is_disconnected(&self, now: Time) -> bool {
+        self.has_expired(now) && now >= self.last_reply + self.timing.lease * 2
     }
 }
--- a/crates/sequoiawing_budget/src/bucket.rs
+++ b/crates/sequoiawing_budget/src/bucket.rs
@@ -10,7 +10,8 @@
 #[serde(default)]
 pub struct Tag {
     /// The period in which one bucket counted.
-    pub regime: u64,
+    #[serde(rename = "regime")]
+    pub generation: u64,
     /// How often every refund was forfeited.
     pub episode: u64,
     /// The part of a refund that is not forfeited, against `FULL_INDEX`.
@@ -21,7 +22,7 @@
 const FULL_INDEX: u64 = 1 << 40;
 
 /// The index below which an episode ends.
-const LEAST_INDEX: u64 = 1 << 20;
+const MIN_INDEX: u64 = 1 << 20;
 
 /// Shares of a rate accrue in millionths of tokens a microsecond.
 const FRACTION: u128 = 1_000_000_000_000;
@@ -38,9 +39,9 @@
 }
 
 impl Bucket {
-    pub(crate) fn new(now: Time, regime: u64, balance: u64) -> Self {
+    pub(crate) fn new(now: Time, generation: u64, balance: u64) -> Self {
         let tag = Tag {
-            regime,
+            generation,
             episode: 0,
             index: FULL_INDEX,
         };
@@ -77,11 +78,11 @@
         };
         let micros = now.since(self.updated).as_micros();
         self.updated = self.updated.max(now);
-        let earned =
+        let accrued =
             u128::from(rate) * u128::from(share.millionths()) * micros + u128::from(self.fraction);
-        self.fraction = u64::try_from(earned % FRACTION).unwrap_or(0);
-        let earned = u64::try_from(earned / FRACTION).unwrap_or(u64::MAX);
-        self.balance = self.balance.saturating_add(earned).min(cap);
+        self.fraction = u64::try_from(accrued % FRACTION).unwrap_or(0);
+        let accrued = u64::try_from(accrued / FRACTION).unwrap_or(u64::MAX);
+        self.balance = self.balance.saturating_add(accrued).min(cap);
         self.forfeit(cap - self.balance);
     }
 
@@ -92,7 +93,7 @@
         }
         self.tag.index = scale(self.tag.index, room, self.refundable);
         self.refundable = room;
-        if self.tag.index < LEAST_INDEX {
+        if self.tag.index < MIN_INDEX {
             self.refundable = 0;
             self.tag.episode += 1;
             self.tag.index = FULL_INDEX;
@@ -118,22 +119,22 @@
 
     /// Notes tokens that were taken and are now spent.
     pub(crate) fn spend(&mut self, tokens: u64, tag: Tag) {
-        self.refundable += self.worth(tokens, tag);
+        self.refundable += self.refund_value(tokens, tag);
     }
 
     /// Takes back the unused part of a charge, as far as the bucket would hold
     /// it had it never been spent, and returns how much that was.
     pub(crate) fn refund(&mut self, charged: u64, unused: u64, tag: Tag) -> u64 {
-        let worth = self.worth(charged, tag).min(self.refundable);
-        self.refundable -= worth;
-        let refund = unused.min(worth);
+        let refund_value = self.refund_value(charged, tag).min(self.refundable);
+        self.refundable -= refund_value;
+        let refund = unused.min(refund_value);
         self.balance = self.balance.saturating_add(refund);
         refund
     }
 
     /// Returns what a charge could be refunded by now.
-    fn worth(&self, tokens: u64, tag: Tag) -> u64 {
-        if (tag.regime, tag.episode) != (self.tag.regime, self.tag.episode) {
+    fn refund_value(&self, tokens: u64, tag: Tag) -> u64 {
+        if (tag.generation, tag.episode) != (self.tag.generation, self.tag.episode) {
             return 0;
         }
         scale(tokens, self.tag.index, tag.index).min(tokens)
--- a/crates/sequoiawing_budget/src/journal.rs
+++ b/crates/sequoiawing_budget/src/journal.rs
@@ -37,8 +37,10 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Journal {
     entries: VecDeque<Entry>,
-    last: u64,
-    sealed: u64,
+    #[serde(rename = "last")]
+    last_id: u64,
+    #[serde(rename = "sealed")]
+    last_sent: u64,
 }
 
 impl Journal {
@@ -49,26 +51,26 @@
     pub(crate) fn push(&mut self, kind: EntryKind) {
         let is_spent = matches!(kind, EntryKind::Spent { .. });
         let reach = if is_spent { 2 } else { 1 };
-        let sealed = self.sealed;
+        let last_sent = self.last_sent;
         let unsent = self.entries.iter_mut().rev().take(reach);
-        for entry in unsent.filter(|e| e.id > sealed) {
-            if join(&mut entry.kind, &kind) {
+        for entry in unsent.filter(|e| e.id > last_sent) {
+            if merge(&mut entry.kind, &kind) {
                 return;
             }
         }
-        self.last += 1;
-        let id = self.last;
+        self.last_id += 1;
+        let id = self.last_id;
         self.entries.push_back(Entry { id, kind });
     }
 
     /// Returns all entries that are not known to be applied.
     pub(crate) fn send(&mut self) -> Vec<Entry> {
-        self.sealed = self.last;
+        self.last_sent = self.last_id;
         self.entries.iter().copied().collect()
     }
 
     /// Forgets what the lender has applied.
-    pub(crate) fn applied(&mut self, id: u64) {
+    pub(crate) fn acknowledge(&mut self, id: u64) {
         while self.entries.front().is_some_and(|e| e.id <= id) {
             self.entries.pop_front();
         }
@@ -79,7 +81,7 @@
     }
 }
 
-fn join(last: &mut EntryKind, next: &EntryKind) -> bool {
+fn merge(last: &mut EntryKind, next: &EntryKind) -> bool {
     match (last, next) {
         (EntryKind::Spent { tokens, tag }, EntryKind::Spent { tokens: n, tag: t }) if tag == t => {
             *tokens += n;
--- a/crates/sequoiawing_budget/src/lender/account.rs
+++ b/crates/sequoiawing_budget/src/lender/account.rs
@@ -1,4 +1,4 @@
-use crate::{Ask, Share, Timing, borrower::HOLDER_SHIFT};
+use crate::{BorrowRequest, Share, Timing, borrower::HOLDER_SHIFT};
 use sequoiawing_types::Time;
 use serde::Serialize;
 use std::time::Duration;
@@ -13,12 +13,13 @@
     /// yet.
     Joining,
     /// The borrower may accrue its own share.
-    Apart,
+    #[serde(rename = "apart")]
+    Disconnected,
 }
 
 /// Credit of a holder that was replaced, until its lease has run out.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Left {
+struct ReplacedLease {
     tokens: u64,
     until: Time,
 }
@@ -30,54 +31,62 @@
     /// Whether a former lender may have lent to the borrower.
     pub(super) is_unknown: bool,
     /// Whether the borrower accrued by itself under a former lender.
-    pub(super) was_alone: bool,
+    #[serde(rename = "was_alone")]
+    pub(super) was_autonomous: bool,
     /// The share that the borrower accrues when it is cut off.
     pub(super) share: Share,
     /// The share that the current invitation offers.
     pub(super) offered: Share,
     /// The share that the borrower should have.
     pub(super) target: Share,
-    pub(super) join: u64,
+    #[serde(rename = "join")]
+    pub(super) invitation: u64,
     pub(super) session: u64,
     pub(super) lent: u64,
     pub(super) granted: u64,
     pub(super) returned: u64,
     pub(super) applied: u64,
     /// The newest stamp that the borrower is known to have heard.
-    pub(super) heard: Time,
+    #[serde(rename = "heard")]
+    pub(super) acked_stamp: Time,
     /// When the borrower's lease has surely run out.
-    pub(super) until: Time,
+    #[serde(rename = "until")]
+    pub(super) lease_end: Time,
     /// When the last ask that was answered with a grant was sent.
-    pub(super) asked: Time,
+    #[serde(rename = "asked")]
+    pub(super) last_sent: Time,
     /// The last need that was met, on the borrower's clock.
-    pub(super) met: Time,
+    #[serde(rename = "met")]
+    pub(super) last_met: Time,
     pub(super) recall: bool,
-    told: Option<Time>,
-    left: Vec<Left>,
+    #[serde(rename = "told")]
+    recall_stamp: Option<Time>,
+    #[serde(rename = "left")]
+    replaced: Vec<ReplacedLease>,
 }
 
 impl Account {
     pub(super) fn new(share: Share) -> Self {
         Self {
-            state: State::Apart,
+            state: State::Disconnected,
             is_unknown: false,
-            was_alone: false,
+            was_autonomous: false,
             share,
             offered: share,
             target: share,
-            join: 1,
+            invitation: 1,
             session: 0,
             lent: 0,
             granted: 0,
             returned: 0,
             applied: 0,
-            heard: Time::ZERO,
-            until: Time::ZERO,
-            asked: Time::ZERO,
-            met: Time::ZERO,
+            acked_stamp: Time::ZERO,
+            lease_end: Time::ZERO,
+            last_sent: Time::ZERO,
+            last_met: Time::ZERO,
             recall: false,
-            told: None,
-            left: Vec::new(),
+            recall_stamp: None,
+            replaced: Vec::new(),
         }
     }
 
@@ -97,56 +106,62 @@
         let share = self.held_share().of(burst);
         match self.state {
             // A successor accrues by itself only after its predecessor's lease.
-            State::Apart => self.lent.saturating_add(self.left()).max(share),
-            _ if self.was_alone => self.lent.max(share).saturating_add(self.left()),
-            _ => self.lent.saturating_add(self.left()),
+            State::Disconnected => self.lent.saturating_add(self.replaced_credit()).max(share),
+            _ if self.was_autonomous => self.lent.max(share).saturating_add(self.replaced_credit()),
+            _ => self.lent.saturating_add(self.replaced_credit()),
         }
     }
 
     /// Returns the credit that predecessors may still hold.
-    pub(super) fn left(&self) -> u64 {
-        self.left.iter().map(|l| l.tokens).sum()
+    pub(super) fn replaced_credit(&self) -> u64 {
+        self.replaced.iter().map(|l| l.tokens).sum()
     }
 
     /// Notes that a reply with this stamp tells the borrower to return credit.
-    pub(super) fn tell_recall(&mut self, stamp: Time) {
+    pub(super) fn note_recall_sent(&mut self, stamp: Time) {
         if self.recall {
-            self.told.get_or_insert(stamp);
+            self.recall_stamp.get_or_insert(stamp);
         }
     }
 
     /// Ends the recall when the borrower has heard of it.
-    pub(super) fn hear_recall(&mut self, stamp: Time) {
-        if self.told.is_some_and(|t| t <= stamp) {
+    pub(super) fn acknowledge_recall(&mut self, stamp: Time) {
+        if self.recall_stamp.is_some_and(|t| t <= stamp) {
             self.recall = false;
-            self.told = None;
+            self.recall_stamp = None;
         }
     }
 
     /// Invites the borrower to a new session.
     pub(super) fn invite(&mut self, state: State) {
         self.state = state;
-        self.join += 1;
+        self.invitation += 1;
     }
 
     /// Reports whether another holder speaks for the borrower now.
-    pub(super) fn is_replaced(&self, ask: &Ask) -> bool {
-        self.session >> HOLDER_SHIFT < ask.session >> HOLDER_SHIFT
+    pub(super) fn is_replaced(&self, request: &BorrowRequest) -> bool {
+        self.session >> HOLDER_SHIFT < request.session >> HOLDER_SHIFT
     }
 
     /// Puts a new holder in the place of the last one, whose credit counts
     /// until its lease has run out.
-    pub(super) fn replace(&mut self, now: Time, timing: &Timing, burst: u64, ask: &Ask) {
+    pub(super) fn replace(
+        &mut self,
+        now: Time,
+        timing: &Timing,
+        burst: u64,
+        request: &BorrowRequest,
+    ) {
         if self.session > 0 {
             let tokens = match self.state {
-                State::Apart => self.lent.max(self.share.of(burst)),
+                State::Disconnected => self.lent.max(self.share.of(burst)),
                 _ => self.lent,
             };
-            let until = self.until.max(now + timing.late()) + timing.late_holding();
-            self.leave(tokens, until);
+            let until = self.lease_end.max(now + timing.max_lease()) + timing.max_overrun();
+            self.retain_lease(tokens, until);
         }
         self.lent = 0;
-        self.session = ask.session;
+        self.session = request.session;
         let state = if self.state == State::Joined {
             State::Joining
         } else {
@@ -157,47 +172,47 @@
 
     /// Starts the session that the borrower opened with what it kept, and
     /// returns the credit that it did not keep.
-    pub(super) fn start(&mut self, ask: &Ask, kept: u64, until: Time) -> u64 {
+    pub(super) fn start(&mut self, request: &BorrowRequest, kept: u64, until: Time) -> u64 {
         let dropped = self.lent.saturating_sub(kept);
-        self.was_alone = self.is_unknown && ask.alone;
+        self.was_autonomous = self.is_unknown && request.autonomous;
         self.is_unknown = false;
         self.state = State::Joined;
         self.share = self.offered;
-        self.session = ask.session;
+        self.session = request.session;
         self.lent = kept;
         self.granted = 0;
         self.returned = 0;
         self.applied = 0;
-        self.asked = Time::ZERO;
-        self.met = Time::ZERO;
-        self.heard = ask.stamp;
-        self.until = until;
+        self.last_sent = Time::ZERO;
+        self.last_met = Time::ZERO;
+        self.acked_stamp = request.stamp;
+        self.lease_end = until;
         dropped
     }
 
     /// Forgets what predecessors may hold, because a holder vouches for them.
-    pub(super) fn vouch(&mut self) {
-        self.left.clear();
+    pub(super) fn forget_replaced(&mut self) {
+        self.replaced.clear();
     }
 
     /// Counts credit until a lease has run out.
-    pub(super) fn leave(&mut self, tokens: u64, until: Time) {
+    pub(super) fn retain_lease(&mut self, tokens: u64, until: Time) {
         if tokens > 0 {
-            self.left.push(Left { tokens, until });
+            self.replaced.push(ReplacedLease { tokens, until });
         }
     }
 
     /// Forgets leases that have run out and returns the credit that was lent
     /// under them.
-    pub(super) fn expire(&mut self, now: Time, holding: Duration) -> u64 {
+    pub(super) fn expire(&mut self, now: Time, overrun: Duration) -> u64 {
         let mut lost = 0;
-        self.left.retain(|l| {
+        self.replaced.retain(|l| {
             let is_held = now < l.until;
             lost += if is_held { 0 } else { l.tokens };
             is_held
         });
-        let is_over = now >= self.until + holding;
-        if self.state == State::Apart && !self.is_unknown && is_over {
+        let is_over = now >= self.lease_end + overrun;
+        if self.state == State::Disconnected && !self.is_unknown && is_over {
             lost += std::mem::take(&mut self.lent);
         }
         lost
@@ -205,10 +220,10 @@
 
     /// Takes all credit away, because no lease can still be running.
     pub(super) fn write_off(&mut self) -> u64 {
-        self.invite(State::Apart);
-        let lost = self.lent + self.left();
+        self.invite(State::Disconnected);
+        let lost = self.lent + self.replaced_credit();
         self.lent = 0;
-        self.left.clear();
+        self.replaced.clear();
         lost
     }
 }
--- a/crates/sequoiawing_budget/src/lender/cell.rs
+++ b/crates/sequoiawing_budget/src/lender/borrowed.rs
@@ -15,7 +15,7 @@
 
     /// Returns the credit that the lender and its borrowers may hold.
     pub(crate) fn total(&self) -> u64 {
-        let held = self.accounts.values().map(|a| a.lent + a.left());
+        let held = self.accounts.values().map(|a| a.lent + a.replaced_credit());
         self.bucket.balance() + held.sum::<u64>()
     }
 
@@ -32,15 +32,15 @@
     }
 
     /// Starts to accrue a share, with what is left of borrowed credit.
-    pub(crate) fn accrue(&mut self, now: Time, regime: u64, share: Share) {
+    pub(crate) fn start_accruing(&mut self, now: Time, generation: u64, share: Share) {
         let balance = self.bucket.balance().min(share.of(self.limits.burst));
-        self.bucket = Bucket::new(now, regime << 1 | 1, balance);
+        self.bucket = Bucket::new(now, generation << 1 | 1, balance);
         self.source = Source::Accrued(share);
-        self.is_settling = now < self.settled;
+        self.is_settling = now < self.settling_until;
     }
 
     /// Stops to accrue.
-    pub(crate) fn borrow(&mut self, now: Time) {
+    pub(crate) fn stop_accruing(&mut self, now: Time) {
         self.advance(now);
         self.source = Source::Borrowed;
         self.is_settling = false;
--- a/crates/sequoiawing_budget/src/lender/mod.rs
+++ b/crates/sequoiawing_budget/src/lender/mod.rs
@@ -1,16 +1,16 @@
 //! The owner's side of a budget, and a cell leader's towards its routers.
 
 mod account;
-mod answer;
-mod cell;
-mod logged;
+mod borrowed;
+mod proposals;
+mod requests;
 mod view;
 mod watermark;
 
 pub use view::{AccountView, LenderView};
 pub use watermark::Watermark;
 
-use crate::{Ask, EntryKind, Limits, Refill, Reply, Share, Timing, bucket::Bucket};
+use crate::{BorrowRequest, EntryKind, Limits, Refill, Reply, Share, Timing, bucket::Bucket};
 use account::{Account, State};
 use sequoiawing_types::{Name, Time};
 use serde::Serialize;
@@ -45,16 +45,20 @@
     source: Source,
     bucket: Bucket,
     accounts: BTreeMap<Name, Account>,
-    marks: Option<Watermarks>,
+    #[serde(rename = "marks")]
+    watermarks: Option<Watermarks>,
     /// When every lease of a former lender has run out.
-    settled: Time,
+    #[serde(rename = "settled")]
+    settling_until: Time,
     is_settling: bool,
     /// Whether a holder unknown to the borrowers that answer may have credit.
     must_wait: bool,
     stamp: Time,
-    short: Option<Time>,
+    #[serde(rename = "short")]
+    last_shortage: Option<Time>,
     unmet: u64,
-    raised: Time,
+    #[serde(rename = "raised")]
+    floor_raised: Time,
     /// Borrowed credit whose lease ran out with its borrower's silence.
     lost: u64,
 }
@@ -68,28 +72,28 @@
         term: u64,
         limits: Limits,
         timing: Timing,
-        mark: Option<Watermark>,
+        watermark: Option<Watermark>,
     ) -> Self {
-        let is_first = mark.is_none();
-        let mark = mark.unwrap_or(Watermark {
+        let is_first = watermark.is_none();
+        let watermark = watermark.unwrap_or(Watermark {
             floor: limits.burst,
             ..Watermark::default()
         });
         let source = Source::Accrued(Share::WHOLE);
         let mut lender = Self::new(now, term, limits, timing, source);
-        lender.bucket = Bucket::new(now, term << 1, mark.floor.min(limits.burst));
-        for (centre, share) in &mark.shares {
+        lender.bucket = Bucket::new(now, term << 1, watermark.floor.min(limits.burst));
+        for (centre, share) in &watermark.shares {
             let mut account = Account::new(*share);
             account.is_unknown = true;
             lender.accounts.insert(centre.clone(), account);
         }
-        lender.is_settling = !is_first && !mark.shares.is_empty();
-        lender.marks = Some(Watermarks::new(mark));
+        lender.is_settling = !is_first && !watermark.shares.is_empty();
+        lender.watermarks = Some(Watermarks::new(watermark));
         lender
     }
 
     /// Returns a cell leader's lender, which has nothing yet.
-    pub(crate) fn cell(now: Time, term: u64, limits: Limits, timing: Timing) -> Self {
+    pub(crate) fn for_cell(now: Time, term: u64, limits: Limits, timing: Timing) -> Self {
         let mut lender = Self::new(now, term, limits, timing, Source::Borrowed);
         lender.must_wait = true;
         lender
@@ -103,14 +107,14 @@
             source,
             bucket: Bucket::new(now, 0, 0),
             accounts: BTreeMap::new(),
-            marks: None,
-            settled: now + timing.late() + timing.late_holding(),
+            watermarks: None,
+            settling_until: now + timing.max_lease() + timing.max_overrun(),
             is_settling: false,
             must_wait: false,
             stamp: now,
-            short: None,
+            last_shortage: None,
             unmet: 0,
-            raised: now,
+            floor_raised: now,
             lost: 0,
         }
     }
@@ -122,8 +126,8 @@
     }
 
     /// Sets how long what was begun with a slot may go on after the lease.
-    pub fn set_holding(&mut self, holding: Duration) {
-        self.timing.holding = holding;
+    pub fn set_overrun(&mut self, overrun: Duration) {
+        self.timing.overrun = overrun;
     }
 
     /// Returns the limits in force.
@@ -147,8 +151,9 @@
     }
 
     /// Takes in a data centre's message and answers it.
-    pub fn handle(&mut self, now: Time, from: &Name, ask: &Ask) -> Reply {
-        self.answer(now, from, ask, self.timing.lease).reply
+    pub fn handle(&mut self, now: Time, from: &Name, request: &BorrowRequest) -> Reply {
+        self.handle_request(now, from, request, self.timing.lease)
+            .reply
     }
 
     /// Lets time pass and moves shares.
@@ -171,14 +176,14 @@
 
     /// Lets time pass: leases run out, shares part, credit accrues.
     pub(crate) fn advance(&mut self, now: Time) {
-        let early = self.timing.early();
-        let holding = self.timing.late_holding();
+        let min_lease = self.timing.min_lease();
+        let overrun = self.timing.max_overrun();
         for account in self.accounts.values_mut() {
-            if account.state != State::Apart && now >= account.heard + early {
-                account.invite(State::Apart);
+            if account.state != State::Disconnected && now >= account.acked_stamp + min_lease {
+                account.invite(State::Disconnected);
                 account.recall = false;
             }
-            let lost = account.expire(now, holding);
+            let lost = account.expire(now, overrun);
             self.lost += lost;
         }
         self.end_settling(now);
@@ -191,7 +196,10 @@
                 .fill(now, &self.limits, Share::NONE, self.bucket.balance());
             return;
         }
-        let apart = self.accounts.values().filter(|a| a.state == State::Apart);
+        let apart = self
+            .accounts
+            .values()
+            .filter(|a| a.state == State::Disconnected);
         let apart = apart.fold(Share::NONE, |s, a| s.saturating_add(a.held_share()));
         let cap = self.cap(share);
         self.bucket
@@ -200,7 +208,7 @@
 
     /// Ends the time in which a former lender's credit may be unknown.
     fn end_settling(&mut self, now: Time) {
-        let is_over = now >= self.settled;
+        let is_over = now >= self.settling_until;
         let is_known = !self.accounts.values().any(|a| a.is_unknown);
         if !self.is_settling || !(is_over || (is_known && !self.must_wait)) {
             return;
@@ -211,7 +219,7 @@
         }
         for account in self.accounts.values_mut() {
             account.is_unknown = false;
-            account.was_alone = false;
+            account.was_autonomous = false;
         }
     }
 
--- a/crates/sequoiawing_budget/src/lender/logged.rs
+++ b/crates/sequoiawing_budget/src/lender/proposals.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// The part of the burst that one watermark allows to lend.
-const WATERMARK_PART: u64 = 4;
+const WATERMARK_DIVISOR: u64 = 4;
 
 /// How often a watermark is raised at most.
 const RAISE_INTERVAL: Duration = Duration::from_secs(1);
@@ -17,38 +17,38 @@
         self.tick(now);
         let floor = self.next_floor(now);
         let shares = self.next_shares();
-        let marks = self.marks.as_mut()?;
-        if marks.is_proposing() {
+        let watermarks = self.watermarks.as_mut()?;
+        if watermarks.is_proposing() {
             return None;
         }
-        let is_first = marks.committed.term != self.term;
-        let is_same = floor.is_none() && shares == marks.committed.shares;
+        let is_first = watermarks.committed.term != self.term;
+        let is_same = floor.is_none() && shares == watermarks.committed.shares;
         if is_same && !is_first {
             return None;
         }
-        let floor = floor.unwrap_or(marks.committed.floor);
-        let mark = Watermark {
+        let floor = floor.unwrap_or(watermarks.committed.floor);
+        let watermark = Watermark {
             term: self.term,
             floor,
             shares,
         };
-        marks.propose(&mark);
-        Some(mark)
+        watermarks.propose(&watermark);
+        Some(watermark)
     }
 
     /// Notes that a watermark is committed.
-    pub fn commit(&mut self, now: Time, mark: &Watermark) {
-        self.raised = now;
-        if let Some(marks) = &mut self.marks {
-            marks.commit(mark);
+    pub fn commit(&mut self, now: Time, watermark: &Watermark) {
+        self.floor_raised = now;
+        if let Some(watermarks) = &mut self.watermarks {
+            watermarks.commit(watermark);
         }
         self.tick(now);
     }
 
     /// Notes that whether the watermark was committed is not known.
-    pub fn give_up(&mut self) {
-        if let Some(marks) = &mut self.marks {
-            marks.give_up();
+    pub fn abandon_proposal(&mut self) {
+        if let Some(watermarks) = &mut self.watermarks {
+            watermarks.abandon_proposal();
         }
     }
 
@@ -57,10 +57,10 @@
         let all = self.accounts.values();
         let held = all.fold(Share::NONE, |s, a| s.saturating_add(a.held_share()));
         let mut room = Share::WHOLE.saturating_sub(held);
-        let marks = &self.marks;
+        let watermarks = &self.watermarks;
         for (name, account) in &mut self.accounts {
             let own = account.held_share();
-            let logged = marks.as_ref().map_or(Share::NONE, |m| m.share(name));
+            let logged = watermarks.as_ref().map_or(Share::NONE, |m| m.share(name));
             let best = account.target.min(own.saturating_add(room)).min(logged);
             let is_open = account.state != State::Joined;
             if best == account.offered || account.is_new() {
@@ -70,7 +70,7 @@
             account.offered = best;
             let never_accrued = account.share == Share::NONE && !account.is_unknown;
             if is_open && never_accrued {
-                account.heard = now;
+                account.acked_stamp = now;
             }
             let stays_apart = is_open && !never_accrued;
             let state = if stays_apart {
@@ -84,8 +84,8 @@
 
     /// Returns the shares that the log has to set aside.
     fn next_shares(&self) -> BTreeMap<Name, Share> {
-        let marks = self.marks.as_ref();
-        let logged = |n: &Name| marks.map_or(Share::NONE, |m| m.share(n));
+        let watermarks = self.watermarks.as_ref();
+        let logged = |n: &Name| watermarks.map_or(Share::NONE, |m| m.share(n));
         let all = self.accounts.iter().filter(|(_, a)| !a.is_new());
         let held = all
             .clone()
@@ -106,15 +106,15 @@
         if self.limits.refill == Refill::OnReturn || self.is_settling {
             return None;
         }
-        let marks = self.marks.as_ref()?;
+        let watermarks = self.watermarks.as_ref()?;
         let balance = self.bucket.balance();
-        let chunk = (self.limits.burst / WATERMARK_PART).max(1);
-        let floor = marks.floor();
+        let chunk = (self.limits.burst / WATERMARK_DIVISOR).max(1);
+        let floor = watermarks.floor();
         let unmet = std::mem::take(&mut self.unmet);
         let is_low = floor > 0 && balance.saturating_sub(floor) < (chunk / 2).max(unmet);
-        let is_high = balance > floor + 3 * chunk && now >= self.raised + RAISE_INTERVAL;
+        let is_high = balance > floor + 3 * chunk && now >= self.floor_raised + RAISE_INTERVAL;
         let next = balance.saturating_sub(chunk.max(unmet));
-        let is_changed = next != marks.committed.floor;
+        let is_changed = next != watermarks.committed.floor;
         ((is_low || is_high) && is_changed).then_some(next)
     }
 }
--- a/crates/sequoiawing_budget/src/lender/answer.rs
+++ b/crates/sequoiawing_budget/src/lender/requests.rs
@@ -1,13 +1,13 @@
 use super::{Account, Bucket, Handled, Lender, Share, Source, State, Watermarks};
-use crate::{Ask, EntryKind, Need, Refill, Reply};
+use crate::{BorrowRequest, EntryKind, NeedStatus, Refill, Reply};
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
 /// How long after a shortage credit is lent for actual need only.
-const SHORTAGE: Duration = Duration::from_millis(200);
+const SHORTAGE_PERIOD: Duration = Duration::from_millis(200);
 
 /// The part of the balance that is lent beyond actual need at most.
-const CHUNK_PART: u64 = 8;
+const CHUNK_DIVISOR: u64 = 8;
 
 /// What a borrower waits before asking again while others return credit.
 const PENDING_RETRY: Duration = Duration::from_millis(2);
@@ -15,89 +15,101 @@
 /// The messages of borrowers.
 impl Lender {
     /// Takes in a borrower's message whose credit may be used for `lease`.
-    pub(crate) fn answer(&mut self, now: Time, from: &Name, ask: &Ask, lease: Duration) -> Handled {
+    pub(crate) fn handle_request(
+        &mut self,
+        now: Time,
+        from: &Name,
+        request: &BorrowRequest,
+        lease: Duration,
+    ) -> Handled {
         self.advance(now);
         let mut entries = Vec::new();
         let burst = self.limits.burst;
-        let late = self.timing.late();
+        let max_lease = self.timing.max_lease();
         let account = self.accounts.entry(from.clone());
         let account = account.or_insert_with(|| Account::new(Share::NONE));
-        if account.is_replaced(ask) {
-            self.must_wait |= account.is_unknown && ask.fresh;
-            account.replace(now, &self.timing, burst, ask);
+        if account.is_replaced(request) {
+            self.must_wait |= account.is_unknown && request.recent_takeover;
+            account.replace(now, &self.timing, burst, request);
         }
-        let can_join = ask.lender == self.term
-            && ask.join == account.join
-            && ask.session > account.session
+        let can_join = request.lender_term == self.term
+            && request.invitation == account.invitation
+            && request.session > account.session
             && account.state != State::Joined;
         if can_join {
-            self.join(now, from, ask);
+            self.join(now, from, request);
         }
         let account = &self.accounts[from];
         let is_current = account.state == State::Joined
-            && (ask.lender, ask.join) == (self.term, account.join)
-            && ask.session == account.session;
-        let mut need = Need::Pending;
+            && (request.lender_term, request.invitation) == (self.term, account.invitation)
+            && request.session == account.session;
+        let mut need = NeedStatus::Pending;
         let mut renewed = false;
         if is_current {
-            self.settle(from, ask, &mut entries);
-            renewed = !self.is_excessive(from);
+            self.apply_entries(from, request, &mut entries);
+            renewed = !self.exceeds_share(from);
             let account = self.accounts.get_mut(from).expect("it was served");
             if renewed {
-                account.until = account.until.max(now + late);
-                need = self.grant(now, from, ask, lease);
+                account.lease_end = account.lease_end.max(now + max_lease);
+                need = self.grant(now, from, request, lease);
             } else {
                 account.recall = true;
             }
         }
         // A cell leader that waits for its predecessor's leases has nothing to
         // lend yet.
-        let has_credit = renewed && (self.marks.is_some() || !self.is_settling);
+        let has_credit = renewed && (self.watermarks.is_some() || !self.is_settling);
         let lease = if has_credit { lease } else { Duration::ZERO };
-        let mut reply = self.reply(now, from, ask, lease, need);
+        let mut reply = self.reply(now, from, request, lease, need);
         reply.joined = is_current;
         // Such a need is met when those leases have run out, which takes longer
         // than requests wait for a lender that has answered.
-        let missing = ask.head.max(1);
-        reply.ready &= need != Need::Pending || ask.need == 0 || !self.is_withheld(missing);
-        reply.clean &= is_current;
+        let missing = request.head_need.max(1);
+        reply.ready &=
+            need != NeedStatus::Pending || request.need == 0 || !self.may_be_held(missing);
+        reply.durable &= is_current;
         Handled { reply, entries }
     }
 
-    fn join(&mut self, now: Time, from: &Name, ask: &Ask) {
-        let until = now + self.timing.late();
-        let is_logged = self.marks.as_ref().is_none_or(|m| m.knows(from));
+    fn join(&mut self, now: Time, from: &Name, request: &BorrowRequest) {
+        let until = now + self.timing.max_lease();
+        let is_logged = self.watermarks.as_ref().is_none_or(|m| m.has_centre(from));
         let account = self.accounts.get_mut(from).expect("the caller made it");
-        if now >= ask.stamp + self.timing.early() {
-            account.invite(State::Apart);
+        if now >= request.stamp + self.timing.min_lease() {
+            account.invite(State::Disconnected);
             return;
         }
         if !is_logged {
             return;
         }
-        if self.marks.is_some() {
-            account.start(ask, ask.balance, until);
-            if self.limits.refill == Refill::OnReturn && !ask.fresh {
-                account.vouch();
+        if self.watermarks.is_some() {
+            account.start(request, request.balance, until);
+            if self.limits.refill == Refill::OnReturn && !request.recent_takeover {
+                account.forget_replaced();
             }
             return;
         }
         // A router keeps nothing over a new session, except what it may not
         // drop: slots in flight, which come back when their lease has run out.
-        let ends = account.until;
-        let dropped = account.start(ask, 0, until);
+        let ends = account.lease_end;
+        let dropped = account.start(request, 0, until);
         match self.limits.refill {
-            Refill::OnReturn => account.leave(dropped, ends),
+            Refill::OnReturn => account.retain_lease(dropped, ends),
             Refill::PerSecond(_) => self.lost += dropped,
         }
     }
 
     /// Takes in what the borrower spent and returned.
-    fn settle(&mut self, from: &Name, ask: &Ask, entries: &mut Vec<EntryKind>) {
+    fn apply_entries(
+        &mut self,
+        from: &Name,
+        request: &BorrowRequest,
+        entries: &mut Vec<EntryKind>,
+    ) {
         let account = self.accounts.get_mut(from).expect("the caller made it");
-        account.heard = account.heard.max(ask.stamp);
-        account.hear_recall(ask.stamp);
-        for entry in &ask.entries {
+        account.acked_stamp = account.acked_stamp.max(request.stamp);
+        account.acknowledge_recall(request.stamp);
+        for entry in &request.entries {
             if entry.id <= account.applied {
                 continue;
             }
@@ -110,19 +122,19 @@
                 Source::Accrued(_) => apply(&mut self.bucket, entry.kind),
             }
         }
-        let back = ask.returned.saturating_sub(account.returned);
+        let back = request.returned.saturating_sub(account.returned);
         let back = back.min(account.lent);
-        account.returned = account.returned.max(ask.returned);
+        account.returned = account.returned.max(request.returned);
         account.lent -= back;
         self.bucket.put(back);
     }
 
     /// Reports whether a data centre holds more than its share while the shares
     /// of those that are cut off need it; its lease is then not renewed.
-    fn is_excessive(&self, from: &Name) -> bool {
+    fn exceeds_share(&self, from: &Name) -> bool {
         let burst = self.limits.burst;
         let account = &self.accounts[from];
-        if self.marks.is_none() || account.lent <= account.held_share().of(burst) {
+        if self.watermarks.is_none() || account.lent <= account.held_share().of(burst) {
             return false;
         }
         let reserved = self.accounts.values().map(|a| a.reserved(burst));
@@ -130,59 +142,75 @@
     }
 
     /// Lends what the borrower needs and, when there is enough, some ahead.
-    fn grant(&mut self, now: Time, from: &Name, ask: &Ask, lease: Duration) -> Need {
+    fn grant(
+        &mut self,
+        now: Time,
+        from: &Name,
+        request: &BorrowRequest,
+        lease: Duration,
+    ) -> NeedStatus {
         let free = self.lendable();
         let account = self.accounts.get_mut(from).expect("the caller made it");
-        let is_met = ask.need == 0 || account.met == ask.told;
-        if ask.sent < account.asked {
-            return if is_met { Need::Met } else { Need::Pending };
+        let is_met = request.need == 0 || account.last_met == request.need_since;
+        if request.sent < account.last_sent {
+            return if is_met {
+                NeedStatus::Met
+            } else {
+                NeedStatus::Pending
+            };
         }
-        account.asked = ask.sent;
+        account.last_sent = request.sent;
         if lease.is_zero() || self.is_settling {
-            return if is_met { Need::Met } else { Need::Pending };
+            return if is_met {
+                NeedStatus::Met
+            } else {
+                NeedStatus::Pending
+            };
         }
-        let need = if is_met { 0 } else { ask.need };
-        if need > 0 && ask.head > free {
-            return self.fall_short(now, from, ask.head);
+        let need = if is_met { 0 } else { request.need };
+        if need > 0 && request.head_need > free {
+            return self.record_shortage(now, from, request.head_need);
         }
-        let is_short = self.short.is_some_and(|s| now < s + SHORTAGE);
+        let is_short = self
+            .last_shortage
+            .is_some_and(|s| now < s + SHORTAGE_PERIOD);
         let part = match self.limits.refill {
             Refill::OnReturn => 1,
-            Refill::PerSecond(_) => CHUNK_PART,
+            Refill::PerSecond(_) => CHUNK_DIVISOR,
         };
         let room = (free - need.min(free)) / part;
-        let ahead = ask.want.saturating_sub(account.lent).min(room);
+        let ahead = request.want.saturating_sub(account.lent).min(room);
         let ahead = if is_short { 0 } else { ahead };
         let granted = self.bucket.take((need + ahead).min(free));
         account.granted += granted;
         account.lent += granted;
         if need > 0 {
-            account.met = ask.told;
+            account.last_met = request.need_since;
         }
         if need > granted {
-            self.fall_short(now, from, need - granted);
+            self.record_shortage(now, from, need - granted);
         }
-        Need::Met
+        NeedStatus::Met
     }
 
     /// Notes a shortage and tells all others to return what they hold.
-    fn fall_short(&mut self, now: Time, except: &Name, missing: u64) -> Need {
-        self.short = Some(now);
+    fn record_shortage(&mut self, now: Time, except: &Name, missing: u64) -> NeedStatus {
+        self.last_shortage = Some(now);
         self.unmet = self.unmet.max(missing);
         let is_unlogged = self.bucket.balance() >= missing;
-        if self.recall(except) || is_unlogged || self.is_withheld(missing) {
-            Need::Pending
+        if self.recall(except) || is_unlogged || self.may_be_held(missing) {
+            NeedStatus::Pending
         } else {
-            Need::Unmet
+            NeedStatus::Unmet
         }
     }
 
     /// Reports whether as much may still be held under the leases of holders
     /// that were replaced: it is not known to be spent.
-    fn is_withheld(&self, missing: u64) -> bool {
-        let left = self.accounts.values().map(Account::left);
-        let left = left.fold(0, u64::saturating_add);
-        self.limits.refill != Refill::OnReturn && left >= missing
+    fn may_be_held(&self, missing: u64) -> bool {
+        let replaced = self.accounts.values().map(Account::replaced_credit);
+        let replaced = replaced.fold(0, u64::saturating_add);
+        self.limits.refill != Refill::OnReturn && replaced >= missing
     }
 
     /// Tells all others to return what they hold; returns whether any does.
@@ -198,21 +226,32 @@
         any
     }
 
-    fn reply(&mut self, now: Time, from: &Name, ask: &Ask, lease: Duration, need: Need) -> Reply {
+    fn reply(
+        &mut self,
+        now: Time,
+        from: &Name,
+        request: &BorrowRequest,
+        lease: Duration,
+        need: NeedStatus,
+    ) -> Reply {
         self.stamp = now.max(self.stamp + Duration::from_micros(1));
-        let retry = self.retry(ask.head, need);
-        let clean = !self.is_settling && self.floor() <= self.bucket.balance();
+        let retry = self.retry(request.head_need, need);
+        let durable = !self.is_settling && self.floor() <= self.bucket.balance();
         let account = self.accounts.get_mut(from).expect("the caller made it");
-        account.tell_recall(self.stamp);
+        account.note_recall_sent(self.stamp);
         Reply {
-            clean,
-            lender: self.term,
-            join: account.join,
-            session: ask.session,
+            durable,
+            lender_term: self.term,
+            invitation: account.invitation,
+            session: request.session,
             joined: false,
-            ready: !self.is_settling && self.marks.as_ref().is_none_or(|m| m.is_of(self.term)),
+            ready: !self.is_settling
+                && self
+                    .watermarks
+                    .as_ref()
+                    .is_none_or(|m| m.is_committed_in(self.term)),
             stamp: self.stamp,
-            sent: ask.sent,
+            sent: request.sent,
             lease,
             granted: account.granted,
             applied: account.applied,
@@ -225,11 +264,11 @@
     }
 
     /// Estimates when `head` tokens will have accrued.
-    fn retry(&self, head: u64, need: Need) -> Duration {
-        if need == Need::Pending {
+    fn retry(&self, head_need: u64, need: NeedStatus) -> Duration {
+        if need == NeedStatus::Pending {
             return PENDING_RETRY;
         }
-        let missing = head.saturating_sub(self.bucket.balance());
+        let missing = head_need.saturating_sub(self.bucket.balance());
         let rate = match self.source {
             Source::Accrued(share) => share.of(self.limits.rate()),
             Source::Borrowed => self.limits.rate(),
@@ -246,7 +285,7 @@
         if self.limits.refill == Refill::OnReturn {
             return 0;
         }
-        self.marks.as_ref().map_or(0, Watermarks::floor)
+        self.watermarks.as_ref().map_or(0, Watermarks::floor)
     }
 }
 
--- a/crates/sequoiawing_budget/src/lender/view.rs
+++ b/crates/sequoiawing_budget/src/lender/view.rs
@@ -39,9 +39,10 @@
         let centres = self.accounts.iter().map(|(name, account)| AccountView {
             centre: name.clone(),
             connected: account.state == State::Joined,
-            lent: account.lent + account.left(),
+            lent: account.lent + account.replaced_credit(),
             share: account.held_share(),
-            heard: (account.heard > Time::ZERO).then(|| millis(now.since(account.heard))),
+            heard: (account.acked_stamp > Time::ZERO)
+                .then(|| millis(now.since(account.acked_stamp))),
         });
         LenderView {
             limits: self.limits,
--- a/crates/sequoiawing_budget/src/lender/watermark.rs
+++ b/crates/sequoiawing_budget/src/lender/watermark.rs
@@ -22,7 +22,8 @@
     pub(super) committed: Watermark,
     proposed: Option<Watermark>,
     /// The highest floor among proposals that may be committed.
-    doubt: u64,
+    #[serde(rename = "doubt")]
+    uncertain_floor: u64,
 }
 
 impl Watermarks {
@@ -30,17 +31,17 @@
         Self {
             committed,
             proposed: None,
-            doubt: 0,
+            uncertain_floor: 0,
         }
     }
 
     /// Returns the balance that a successor may start from.
     pub(super) fn floor(&self) -> u64 {
-        self.committed.floor.max(self.doubt)
+        self.committed.floor.max(self.uncertain_floor)
     }
 
     /// Reports whether a watermark of the term is committed.
-    pub(super) fn is_of(&self, term: u64) -> bool {
+    pub(super) fn is_committed_in(&self, term: u64) -> bool {
         self.committed.term == term
     }
 
@@ -48,27 +49,27 @@
         self.proposed.is_some()
     }
 
-    pub(super) fn propose(&mut self, mark: &Watermark) {
-        self.doubt = self.doubt.max(mark.floor);
-        self.proposed = Some(mark.clone());
+    pub(super) fn propose(&mut self, watermark: &Watermark) {
+        self.uncertain_floor = self.uncertain_floor.max(watermark.floor);
+        self.proposed = Some(watermark.clone());
     }
 
     /// Notes that a proposal is committed; all earlier ones are overwritten.
-    pub(super) fn commit(&mut self, mark: &Watermark) {
-        if self.proposed.as_ref() == Some(mark) {
+    pub(super) fn commit(&mut self, watermark: &Watermark) {
+        if self.proposed.as_ref() == Some(watermark) {
             self.proposed = None;
-            self.doubt = 0;
+            self.uncertain_floor = 0;
         }
-        self.committed = mark.clone();
+        self.committed = watermark.clone();
     }
 
     /// Notes that the outcome of the proposal is not known.
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn abandon_proposal(&mut self) {
         self.proposed = None;
     }
 
     /// Reports whether a successor would know of the data centre.
-    pub(super) fn knows(&self, centre: &Name) -> bool {
+    pub(super) fn has_centre(&self, centre: &Name) -> bool {
         self.committed.shares.contains_key(centre)
     }
 
--- a/crates/sequoiawing_budget/src/limits.rs
+++ b/crates/sequoiawing_budget/src/limits.rs
@@ -56,7 +56,8 @@
     pub drift: u32,
     /// How long what was begun with a slot may go on after the lease; zero when
     /// the holder ends it with its lease.
-    pub holding: Duration,
+    #[serde(rename = "holding")]
+    pub overrun: Duration,
 }
 
 impl Default for Timing {
@@ -64,7 +65,7 @@
         Self {
             lease: Duration::from_secs(1),
             drift: 1_000,
-            holding: Duration::ZERO,
+            overrun: Duration::ZERO,
         }
     }
 }
@@ -83,17 +84,17 @@
 
     /// Returns a span that has passed here only after the longest holding has
     /// on any clock.
-    pub(crate) fn late_holding(&self) -> Duration {
-        self.holding + self.drift_of(self.holding)
+    pub(crate) fn max_overrun(&self) -> Duration {
+        self.overrun + self.drift_of(self.overrun)
     }
 
     /// Returns a span that has passed here before a lease has on any clock.
-    pub(crate) fn early(&self) -> Duration {
+    pub(crate) fn min_lease(&self) -> Duration {
         self.lease.saturating_sub(self.margin())
     }
 
     /// Returns a span that has passed here only after a lease has on any clock.
-    pub(crate) fn late(&self) -> Duration {
+    pub(crate) fn max_lease(&self) -> Duration {
         self.lease + self.margin()
     }
 }
--- a/crates/sequoiawing_budget/src/message.rs
+++ b/crates/sequoiawing_budget/src/message.rs
@@ -9,11 +9,13 @@
 /// a session, and entries are numbered.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Ask {
+pub struct BorrowRequest {
     /// The lender's term that the borrower follows.
-    pub lender: u64,
+    #[serde(rename = "lender")]
+    pub lender_term: u64,
     /// The invitation that the borrower has accepted; zero for none.
-    pub join: u64,
+    #[serde(rename = "join")]
+    pub invitation: u64,
     /// The borrower's session; a later one replaces it.
     pub session: u64,
     /// The newest stamp heard from this lender, on the lender's clock.
@@ -24,21 +26,25 @@
     pub balance: u64,
     /// Whether the borrower has accrued credit by itself since a lender last
     /// confirmed a session.
-    pub alone: bool,
+    #[serde(rename = "alone")]
+    pub autonomous: bool,
     /// Whether the borrower took over so recently that a predecessor's lease
     /// may still be running.
-    pub fresh: bool,
+    #[serde(rename = "fresh")]
+    pub recent_takeover: bool,
     /// What was done with credit and is not known to be applied.
     pub entries: Vec<Entry>,
     /// The credit returned in this session.
     pub returned: u64,
     /// When the lender was first told of this need, on the borrower's clock; a
     /// need is met once.
-    pub told: Time,
+    #[serde(rename = "told")]
+    pub need_since: Time,
     /// The tokens that waiting requests are short of.
     pub need: u64,
     /// The tokens that the first waiting request is short of.
-    pub head: u64,
+    #[serde(rename = "head")]
+    pub head_need: u64,
     /// The credit that the borrower would like to hold beyond that.
     pub want: u64,
 }
@@ -46,7 +52,7 @@
 /// What became of a borrower's need.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Need {
+pub enum NeedStatus {
     /// There was none, or it was granted.
     #[default]
     Met,
@@ -66,9 +72,11 @@
 #[serde(default)]
 pub struct Reply {
     /// The lender's term; a borrower follows the highest.
-    pub lender: u64,
+    #[serde(rename = "lender")]
+    pub lender_term: u64,
     /// The invitation that the borrower must have accepted to hold credit.
-    pub join: u64,
+    #[serde(rename = "join")]
+    pub invitation: u64,
     /// The session that the counters below belong to.
     pub session: u64,
     /// Whether the lender counts on that session.
@@ -78,7 +86,8 @@
     pub ready: bool,
     /// Whether a successor of the lender would know what the lender knows of
     /// the time in which the borrower accrued by itself.
-    pub clean: bool,
+    #[serde(rename = "clean")]
+    pub durable: bool,
     /// The lender's clock, which never shows the same stamp twice.
     pub stamp: Time,
     /// When the ask was sent, on the borrower's clock.
@@ -96,7 +105,7 @@
     /// Whether the borrower must return what it does not need.
     pub recall: bool,
     /// What became of the need.
-    pub need: Need,
+    pub need: NeedStatus,
     /// When the first waiting request may be granted.
     pub retry: Duration,
 }
--- a/crates/sequoiawing_budget/src/purse.rs
+++ b/crates/sequoiawing_budget/src/router_budget.rs
@@ -1,16 +1,16 @@
 use crate::{
-    Ask, EntryKind, Need, Refill, Reply, Share, Tag, Timing,
-    borrower::{Borrower, Heard},
+    BorrowRequest, EntryKind, NeedStatus, Refill, Reply, Share, Tag, Timing,
+    borrower::{Borrower, ReplyOutcome},
 };
 use sequoiawing_types::Time;
 use serde::Serialize;
 use std::time::Duration;
 
 /// How long a refusal answers further requests.
-const REFUSAL: Duration = Duration::from_millis(10);
+const REFUSAL_LIFETIME: Duration = Duration::from_millis(10);
 
 /// How long a lone request waits for credit to accrue instead of being refused.
-const GRACE: Duration = Duration::from_millis(10);
+const MAX_ACCRUAL_WAIT: Duration = Duration::from_millis(10);
 
 /// How often the cell leader is asked while requests wait.
 const NEED_INTERVAL: Duration = Duration::from_millis(3);
@@ -22,16 +22,16 @@
 const DEMAND_WINDOW: Duration = Duration::from_millis(100);
 
 /// The windows of demand that a router holds credit for.
-const DEMAND_AHEAD: u64 = 2;
+const DEMAND_WINDOWS_AHEAD: u64 = 2;
 
 /// How long credit beyond the reserve is kept when it is not used.
-const IDLE: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long the reserve is kept when it is not used.
-const RESERVE_LIFE: Duration = Duration::from_mins(1);
+const RESERVE_LIFETIME: Duration = Duration::from_mins(1);
 
 /// The parts of a lease after which a holder renews it.
-const HEARTBEATS: u32 = 4;
+const HEARTBEATS_PER_LEASE: u32 = 4;
 
 /// Credit that a request was charged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
@@ -44,9 +44,9 @@
 
 /// Why a purse did not cover a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Short {
+pub enum ChargeError {
     /// The cell leader has to be asked.
-    Ask,
+    AskLender,
     /// The credit is used up until then.
     Refused(Duration),
 }
@@ -54,45 +54,55 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Refusal {
     at: Time,
-    head: u64,
+    #[serde(rename = "head")]
+    tokens: u64,
     retry: Duration,
 }
 
 /// Until when the charges of an earlier session are leased.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Former {
+struct FormerSession {
     session: u64,
     until: Time,
 }
 
 /// The credit that one router may spend without asking.
 #[derive(Clone, Debug, Serialize)]
-pub struct Purse {
+pub struct RouterBudget {
     timing: Timing,
     refill: Refill,
     reserve: u64,
-    up: Borrower,
+    #[serde(rename = "up")]
+    borrower: Borrower,
     free: u64,
     held: u64,
-    former: Vec<Former>,
+    #[serde(rename = "former")]
+    former_sessions: Vec<FormerSession>,
     need: u64,
-    head: u64,
+    #[serde(rename = "head")]
+    head_need: u64,
     /// When the cell leader was first told of the head.
-    told: Option<Time>,
+    #[serde(rename = "told")]
+    need_since: Option<Time>,
     /// When a cell leader that knew what it may lend last answered.
-    answered: Time,
+    #[serde(rename = "answered")]
+    last_answer: Time,
     /// When a lender last told that a need has to accrue first.
-    unmet: Time,
+    #[serde(rename = "unmet")]
+    last_unmet: Time,
     refusal: Option<Refusal>,
-    asked: Option<Time>,
-    used: Time,
-    window: Time,
+    #[serde(rename = "asked")]
+    last_request: Option<Time>,
+    #[serde(rename = "used")]
+    last_used: Time,
+    #[serde(rename = "window")]
+    window_start: Time,
     spent: u64,
     demand: u64,
     is_due: bool,
 }
 
-impl Purse {
+impl RouterBudget {
     /// Returns an empty purse.
     ///
     /// `incarnation` must be higher than that of any earlier run of the router.
@@ -101,19 +111,19 @@
             timing,
             refill,
             reserve: 0,
-            up: Borrower::new(now, incarnation, timing),
+            borrower: Borrower::new(now, incarnation, timing),
             free: 0,
             held: 0,
-            former: Vec::new(),
+            former_sessions: Vec::new(),
             need: 0,
-            head: 0,
-            told: None,
-            answered: Time::ZERO,
-            unmet: Time::ZERO,
+            head_need: 0,
+            need_since: None,
+            last_answer: Time::ZERO,
+            last_unmet: Time::ZERO,
             refusal: None,
-            asked: None,
-            used: now,
-            window: now,
+            last_request: None,
+            last_used: now,
+            window_start: now,
             spent: 0,
             demand: 0,
             is_due: false,
@@ -128,49 +138,53 @@
 
     /// Returns what should be held without need.
     fn reserve_now(&self, now: Time) -> u64 {
-        let is_kept = now < self.used + RESERVE_LIFE;
+        let is_kept = now < self.last_used + RESERVE_LIFETIME;
         if is_kept { self.reserve } else { 0 }
     }
 
     /// Returns when a lender last answered that knew what it may lend.
-    pub(crate) fn answered(&self) -> Time {
-        self.answered
+    pub(crate) fn last_answer(&self) -> Time {
+        self.last_answer
     }
 
     /// Returns when a lender last told that a need has to accrue first.
-    pub(crate) fn unmet(&self) -> Time {
-        self.unmet
+    pub(crate) fn last_unmet(&self) -> Time {
+        self.last_unmet
     }
 
     /// Reports whether a lender that knew what it may lend has ever answered.
     pub fn is_served(&self) -> bool {
-        self.answered > Time::ZERO
+        self.last_answer > Time::ZERO
     }
 
     /// Returns for how long no lender may answer before the data centre has
     /// elected a leader and lends by itself.
-    pub(crate) fn silence(&self) -> Duration {
+    pub(crate) fn max_silence(&self) -> Duration {
         self.timing.lease * 4
     }
 
     /// Returns the cut-off share of the data centre, as last heard.
     pub fn share(&self) -> Share {
-        self.up.share
+        self.borrower.share
     }
 
     /// Returns the credit that may be spent now.
     pub fn free(&self, now: Time) -> u64 {
-        if self.up.may_use(now) { self.free } else { 0 }
+        if self.borrower.may_use(now) {
+            self.free
+        } else {
+            0
+        }
     }
 
     /// Reports whether a charge is still leased; slots that are held longer may
     /// be lent to others.
     pub fn is_leased(&self, now: Time, charge: &Charge) -> bool {
-        if charge.session == self.up.session() {
-            return self.up.may_use(now);
+        if charge.session == self.borrower.session() {
+            return self.borrower.may_use(now);
         }
-        let mut former = self.former.iter();
-        former.any(|f| f.session == charge.session && now < f.until)
+        let mut former_sessions = self.former_sessions.iter();
+        former_sessions.any(|f| f.session == charge.session && now < f.until)
     }
 
     /// Charges a request, if the purse covers it.
@@ -178,20 +192,20 @@
     /// # Errors
     ///
     /// Tells whether the cell leader should be asked or has just refused.
-    pub fn reserve(&mut self, now: Time, tokens: u64) -> Result<Charge, Short> {
+    pub fn charge(&mut self, now: Time, tokens: u64) -> Result<Charge, ChargeError> {
         self.tick(now);
         if tokens > self.free(now) {
-            return Err(self.short(now, tokens));
+            return Err(self.charge_error(now, tokens));
         }
-        self.used = now;
+        self.last_used = now;
         self.free -= tokens;
         self.spent += tokens;
-        let tag = self.up.tag;
+        let tag = self.borrower.tag;
         match self.refill {
             Refill::OnReturn => self.held += tokens,
-            Refill::PerSecond(_) => self.up.journal.push(EntryKind::Spent { tokens, tag }),
+            Refill::PerSecond(_) => self.borrower.journal.push(EntryKind::Spent { tokens, tag }),
         }
-        let session = self.up.session();
+        let session = self.borrower.session();
         Ok(Charge {
             tokens,
             tag,
@@ -199,12 +213,12 @@
         })
     }
 
-    fn short(&self, now: Time, tokens: u64) -> Short {
+    fn charge_error(&self, now: Time, tokens: u64) -> ChargeError {
         let missing = tokens - self.free(now);
-        let refusal = self.refusal.filter(|r| now < r.at + REFUSAL);
-        match refusal.filter(|r| missing >= r.head) {
-            Some(refusal) => Short::Refused(refusal.retry),
-            None => Short::Ask,
+        let refusal = self.refusal.filter(|r| now < r.at + REFUSAL_LIFETIME);
+        match refusal.filter(|r| missing >= r.tokens) {
+            Some(refusal) => ChargeError::Refused(refusal.retry),
+            None => ChargeError::AskLender,
         }
     }
 
@@ -214,13 +228,13 @@
         let unused = charge.tokens.saturating_sub(used);
         match self.refill {
             // What was held in an earlier session comes back with its lease.
-            Refill::OnReturn if charge.session != self.up.session() => {}
+            Refill::OnReturn if charge.session != self.borrower.session() => {}
             Refill::OnReturn => {
                 self.held = self.held.saturating_sub(charge.tokens);
                 self.free += charge.tokens;
-                self.used = now;
+                self.last_used = now;
             }
-            Refill::PerSecond(_) => self.up.journal.push(EntryKind::Refunded {
+            Refill::PerSecond(_) => self.borrower.journal.push(EntryKind::Refunded {
                 charged: charge.tokens,
                 unused,
                 tag: charge.tag,
@@ -229,130 +243,132 @@
     }
 
     /// Sets what waiting requests need in all, and what the first one needs.
-    pub fn set_need(&mut self, need: u64, head: u64) {
+    pub fn set_need(&mut self, need: u64, head_need: u64) {
         self.is_due |= need > self.need;
-        if head != self.head {
-            self.told = None;
+        if head_need != self.head_need {
+            self.need_since = None;
         }
         self.need = need;
-        self.head = head;
+        self.head_need = head_need;
     }
 
     /// Has the cell leader asked at once.
-    pub fn poke(&mut self) {
+    pub fn mark_due(&mut self) {
         self.is_due = true;
     }
 
     /// Reports whether the cell leader should be asked now.
     pub fn is_due(&self, now: Time) -> bool {
-        let since = |span: Duration| self.asked.is_none_or(|a| now >= a + span);
-        let reports = !self.up.journal.is_empty() && since(REPORT_INTERVAL);
+        let since = |span: Duration| self.last_request.is_none_or(|a| now >= a + span);
+        let reports = !self.borrower.journal.is_empty() && since(REPORT_INTERVAL);
         let holds = self.free + self.held + self.reserve_now(now) > 0;
-        let renews = (holds || !self.is_served()) && since(self.timing.lease / HEARTBEATS);
+        let renews =
+            (holds || !self.is_served()) && since(self.timing.lease / HEARTBEATS_PER_LEASE);
         let waits = self.need > 0 && since(NEED_INTERVAL);
         self.is_due || reports || renews || waits
     }
 
     /// Returns the message to the cell leader.
-    pub fn ask(&mut self, now: Time) -> Ask {
+    pub fn borrow_request(&mut self, now: Time) -> BorrowRequest {
         self.tick(now);
         self.is_due = false;
-        self.asked = Some(now);
+        self.last_request = Some(now);
         let free = self.free(now);
-        let mut ask = self.up.ask(now);
-        ask.need = self.need.saturating_sub(free);
-        ask.head = self.head.saturating_sub(free);
-        if ask.head == 0 {
-            ask.need = 0;
+        let mut request = self.borrower.borrow_request(now);
+        request.need = self.need.saturating_sub(free);
+        request.head_need = self.head_need.saturating_sub(free);
+        if request.head_need == 0 {
+            request.need = 0;
         } else {
-            ask.told = *self.told.get_or_insert(now);
+            request.need_since = *self.need_since.get_or_insert(now);
         }
-        let demand = self.demand.max(self.spent) * DEMAND_AHEAD;
-        ask.want = demand.max(self.reserve_now(now));
-        ask
+        let demand = self.demand.max(self.spent) * DEMAND_WINDOWS_AHEAD;
+        request.want = demand.max(self.reserve_now(now));
+        request
     }
 
     /// Takes in the cell leader's reply.
-    pub fn hear(&mut self, now: Time, reply: &Reply) {
+    pub fn handle_reply(&mut self, now: Time, reply: &Reply) {
         self.tick(now);
-        match self.up.hear(now, reply) {
-            Heard::Stale => {}
-            Heard::Invited => {
+        match self.borrower.handle_reply(now, reply) {
+            ReplyOutcome::Stale => {}
+            ReplyOutcome::Invited => {
                 self.free = 0;
                 self.held = 0;
-                self.former.retain(|f| now < f.until);
-                self.former.push(Former {
-                    session: self.up.session(),
-                    until: self.up.lease,
+                self.former_sessions.retain(|f| now < f.until);
+                self.former_sessions.push(FormerSession {
+                    session: self.borrower.session(),
+                    until: self.borrower.lease,
                 });
-                self.up.accept(0);
+                self.borrower.start_session(0);
                 self.is_due = true;
             }
-            Heard::Granted(tokens) => self.take(now, reply, tokens),
+            ReplyOutcome::Granted(tokens) => self.apply_grant(now, reply, tokens),
         }
     }
 
-    fn take(&mut self, now: Time, reply: &Reply, tokens: u64) {
+    fn apply_grant(&mut self, now: Time, reply: &Reply, tokens: u64) {
         if reply.joined && reply.ready {
-            self.answered = now;
+            self.last_answer = now;
         }
         self.free += tokens;
         if reply.recall {
             let idle = self.free.saturating_sub(self.need);
-            self.give_back(idle);
+            self.return_credit(idle);
         }
-        let missing = self.head.saturating_sub(self.free(now));
-        let is_answer = reply.joined && self.told.is_some_and(|t| t <= reply.sent);
+        let missing = self.head_need.saturating_sub(self.free(now));
+        let is_answer = reply.joined && self.need_since.is_some_and(|t| t <= reply.sent);
         if missing == 0 || tokens > 0 {
             self.refusal = None;
         }
         if missing == 0 || !is_answer {
             return;
         }
-        if reply.need == Need::Unmet {
-            self.unmet = now;
+        if reply.need == NeedStatus::Unmet {
+            self.last_unmet = now;
         }
         match reply.need {
-            Need::Pending => {}
+            NeedStatus::Pending => {}
             // Requests that nobody waits behind may as well wait for it.
-            Need::Unmet if reply.retry <= GRACE && self.need == self.head => {}
-            Need::Unmet => {
+            NeedStatus::Unmet if reply.retry <= MAX_ACCRUAL_WAIT && self.need == self.head_need => {
+            }
+            NeedStatus::Unmet => {
                 self.refusal = Some(Refusal {
                     at: now,
-                    head: missing,
+                    tokens: missing,
                     retry: reply.retry,
                 });
             }
-            Need::Met => {
-                self.told = None;
+            NeedStatus::Met => {
+                self.need_since = None;
                 self.is_due = true;
             }
         }
     }
 
-    fn give_back(&mut self, tokens: u64) {
+    fn return_credit(&mut self, tokens: u64) {
         if tokens == 0 {
             return;
         }
         self.free -= tokens;
-        self.up.give_back(tokens);
+        self.borrower.return_credit(tokens);
         self.is_due = true;
     }
 
     /// Lets time pass: demand is measured, leases run out and idle credit goes
     /// back.
     pub fn tick(&mut self, now: Time) {
-        if now >= self.window + DEMAND_WINDOW {
-            let is_next = now < self.window + DEMAND_WINDOW * 2;
+        if now >= self.window_start + DEMAND_WINDOW {
+            let is_next = now < self.window_start + DEMAND_WINDOW * 2;
             self.demand = if is_next { self.spent } else { 0 };
             self.spent = 0;
-            self.window = now;
+            self.window_start = now;
         }
-        let is_idle = self.need == 0 && now >= self.used + IDLE;
-        if self.up.has_lapsed(now) {
-            self.give_back(self.free);
+        let is_idle = self.need == 0 && now >= self.last_used + IDLE_TIMEOUT;
+        if self.borrower.has_expired(now) {
+            self.return_credit(self.free);
         } else if is_idle {
-            self.give_back(self.free.saturating_sub(self.reserve_now(now)));
+            self.return_credit(self.free.saturating_sub(self.reserve_now(now)));
         }
     }
 }
--- a/crates/sequoiawing_budget/tests/first_credit.rs
+++ b/crates/sequoiawing_budget/tests/first_credit.rs
@@ -23,7 +23,7 @@
 }
 
 fn spent(world: &World) -> usize {
-    let is_spent = |d: &&Denial| matches!(d, Denial::Spent(_));
+    let is_spent = |d: &&Denial| matches!(d, Denial::Exhausted(_));
     world.denials.iter().filter(is_spent).count()
 }
 
--- a/crates/sequoiawing_budget/tests/lender.rs
+++ b/crates/sequoiawing_budget/tests/lender.rs
@@ -1,6 +1,6 @@
 //! What the owner does before a data centre has asked.
 
-use sequoiawing_budget::{Ask, Lender, Limits, Share, Timing};
+use sequoiawing_budget::{BorrowRequest, Lender, Limits, Share, Timing};
 use sequoiawing_types::{Name, Time};
 
 #[test]
@@ -11,16 +11,16 @@
     let names = [Name::from("east"), Name::from("west")];
     let shares = names.clone().map(|n| (n, Share::equal(2)));
     lender.set_shares(start, shares);
-    let mark = lender.propose(start).expect("the term is new");
-    lender.commit(start, &mark);
+    let watermark = lender.propose(start).expect("the term is new");
+    lender.commit(start, &watermark);
     let later = Time::from_millis(60_000);
     lender.tick(later);
     assert_eq!(lender.balance(), 4_000);
-    let ask = Ask {
+    let request = BorrowRequest {
         session: 1 << 20,
-        ..Ask::default()
+        ..BorrowRequest::default()
     };
-    lender.handle(later, &names[0], &ask);
+    lender.handle(later, &names[0], &request);
     lender.tick(later);
     assert_eq!(lender.balance(), 4_000);
 }
--- a/crates/sequoiawing_budget/tests/stories.rs
+++ b/crates/sequoiawing_budget/tests/stories.rs
@@ -106,7 +106,11 @@
 fn state(world: &World) -> String {
     let mut output = format!("owner: {} tokens\n", world.balance());
     for c in 0..world.settings.centres {
-        let state = if world.is_alone(c) { "alone" } else { "joined" };
+        let state = if world.is_autonomous(c) {
+            "alone"
+        } else {
+            "joined"
+        };
         writeln!(output, "c{c}: {state}").expect("a string grows");
     }
     output
--- a/crates/sequoiawing_budget/tests/support/arrivals.rs
+++ b/crates/sequoiawing_budget/tests/support/arrivals.rs
@@ -2,26 +2,28 @@
     Place, Plant, World,
     world::{Event, name},
 };
-use sequoiawing_budget::{Ask, Reply, Share, Watermark};
+use sequoiawing_budget::{BorrowRequest, Reply, Share, Watermark};
 
 /// What happens when messages and other events arrive.
 impl World {
     pub(super) fn event(&mut self, event: Event) {
         match event {
-            Event::ToOwner(c, term, ask) => self.ask_arrived(c, term, &ask),
+            Event::ToOwner(c, term, request) => self.ask_arrived(c, term, &request),
             Event::ToCentre(c, term, reply) => self.reply_arrived(c, term, &reply),
             Event::WakeCentre(c) => self.ask_owner(c),
-            Event::ToLeader(c, r, incarnation, ask) => self.router_asked(c, r, incarnation, &ask),
+            Event::ToLeader(c, r, incarnation, request) => {
+                self.router_asked(c, r, incarnation, &request)
+            }
             Event::ToRouter(c, r, incarnation, reply) => {
                 let router = &mut self.cells[c].routers[r];
                 if router.incarnation == incarnation {
                     let now = router.clock.now(self.now);
-                    router.admission.hear(now, &reply);
+                    router.admission.handle_reply(now, &reply);
                     self.pump_router(c, r);
                 }
             }
             Event::WakeRouter(c, r) => self.ask_leader(c, r),
-            Event::Committed(term, mark) => self.committed(term, &mark),
+            Event::Committed(term, watermark) => self.committed(term, &watermark),
             Event::End(c, r, incarnation, charge, used, index) => {
                 let router = &mut self.cells[c].routers[r];
                 let is_open = router.open.remove(&index).is_some();
@@ -34,7 +36,7 @@
         }
     }
 
-    fn ask_arrived(&mut self, c: usize, term: u64, ask: &Ask) {
+    fn ask_arrived(&mut self, c: usize, term: u64, request: &BorrowRequest) {
         let centres = self.settings.centres;
         let Some(owner) = &mut self.owner else {
             return;
@@ -42,7 +44,7 @@
         let now = owner.clock.now(self.now);
         let equal = Share::equal(centres);
         owner.lender.set_shares(now, [(name(c), equal)]);
-        let mut reply = owner.lender.handle(now, &name(c), ask);
+        let mut reply = owner.lender.handle(now, &name(c), request);
         reply.lease = reply.lease.min(self.settings.timing.lease);
         self.network.count(Place::Owner, &reply);
         if self.settings.plant == Plant::ShareBeforeRelease {
@@ -61,18 +63,18 @@
         }
         let clock = cell.routers[cell.leader].clock;
         if let Some(centre) = &mut cell.centre {
-            centre.hear(clock.now(self.now), reply);
+            centre.handle_reply(clock.now(self.now), reply);
         }
         self.pump_centre(c);
     }
 
-    fn router_asked(&mut self, c: usize, r: usize, incarnation: u64, ask: &Ask) {
+    fn router_asked(&mut self, c: usize, r: usize, incarnation: u64, request: &BorrowRequest) {
         let cell = &mut self.cells[c];
         let clock = cell.routers[cell.leader].clock;
         let Some(centre) = &mut cell.centre else {
             return;
         };
-        let mut reply = centre.handle(clock.now(self.now), &name(r), ask);
+        let mut reply = centre.handle(clock.now(self.now), &name(r), request);
         if self.settings.plant == Plant::LeaseNotWaited && reply.joined {
             reply.lease = self.settings.timing.lease;
         }
@@ -82,15 +84,15 @@
         self.pump_centre(c);
     }
 
-    fn committed(&mut self, term: u64, mark: &Watermark) {
+    fn committed(&mut self, term: u64, watermark: &Watermark) {
         let is_newer = self.log.as_ref().is_none_or(|l| l.term <= term);
         // A successor has read the log; what was under way is lost.
         if term != self.term || !is_newer {
             return;
         }
-        self.log = Some(mark.clone());
+        self.log = Some(watermark.clone());
         if let Some(owner) = &mut self.owner {
-            owner.lender.commit(owner.clock.now(self.now), mark);
+            owner.lender.commit(owner.clock.now(self.now), watermark);
         }
     }
 }
--- a/crates/sequoiawing_budget/tests/support/faults.rs
+++ b/crates/sequoiawing_budget/tests/support/faults.rs
@@ -3,7 +3,7 @@
     clock::clock,
     world::{Owner, router},
 };
-use sequoiawing_budget::{Centre, Lender, Refill};
+use sequoiawing_budget::{CentreBudget, Lender, Refill};
 use std::time::Duration;
 
 /// What stops, starts and restarts.
@@ -17,20 +17,20 @@
     pub(crate) fn start_owner(&mut self) {
         self.term += 1;
         let clock = clock(&self.settings, &mut self.rng);
-        let mut mark = self.log.clone();
+        let mut watermark = self.log.clone();
         let limits = self.settings.limits;
         let mut timing = self.settings.timing;
         match self.settings.plant {
             Plant::WatermarkIgnored => {
-                if let Some(mark) = &mut mark {
-                    mark.floor = limits.burst;
+                if let Some(watermark) = &mut watermark {
+                    watermark.floor = limits.burst;
                 }
             }
             Plant::AccrualNotStopped => timing.lease = Duration::from_hours(1),
             _ => {}
         }
         let now = clock.now(self.now);
-        let lender = Lender::owner(now, self.term, limits, timing, mark);
+        let lender = Lender::owner(now, self.term, limits, timing, watermark);
         self.owner = Some(Owner { clock, lender });
     }
 
@@ -45,13 +45,13 @@
         cell.term += 1;
         let router = &cell.routers[r];
         let now = router.clock.now(self.now);
-        let share = router.admission.purse().share();
+        let share = router.admission.budget().share();
         let settings = &self.settings;
         let mut timing = settings.timing;
         if settings.plant == Plant::LeaseNotWaited {
             timing.lease /= 10;
         }
-        let centre = Centre::new(now, cell.term, settings.limits, timing, share);
+        let centre = CentreBudget::new(now, cell.term, settings.limits, timing, share);
         cell.centre = Some(centre);
     }
 
@@ -63,8 +63,11 @@
         self.cells[c].centre.is_some()
     }
 
-    pub(crate) fn is_alone(&self, c: usize) -> bool {
-        self.cells[c].centre.as_ref().is_some_and(Centre::is_alone)
+    pub(crate) fn is_autonomous(&self, c: usize) -> bool {
+        self.cells[c]
+            .centre
+            .as_ref()
+            .is_some_and(CentreBudget::is_autonomous)
     }
 
     pub(crate) fn balance(&self) -> u64 {
--- a/crates/sequoiawing_budget/tests/support/settings.rs
+++ b/crates/sequoiawing_budget/tests/support/settings.rs
@@ -40,7 +40,7 @@
             timing: Timing {
                 lease: Duration::from_millis(500),
                 drift: 1_000,
-                holding: Duration::ZERO,
+                overrun: Duration::ZERO,
             },
             centres: 3,
             routers: 2,
--- a/crates/sequoiawing_budget/tests/support/sites.rs
+++ b/crates/sequoiawing_budget/tests/support/sites.rs
@@ -1,7 +1,9 @@
 use super::{Network, Place};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sequoiawing_budget::{Ask, Lender, Limits, Reply, Share, Slots, Timing, Watermark};
+use sequoiawing_budget::{
+    BorrowRequest, CentreSlots, Lender, Limits, Reply, Share, Timing, Watermark,
+};
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -46,7 +48,7 @@
 struct Site {
     clock: Clock,
     term: u64,
-    slots: Option<Slots>,
+    slots: Option<CentreSlots>,
     share: Share,
     led: Time,
     loads: Vec<Time>,
@@ -54,7 +56,7 @@
 }
 
 enum Event {
-    ToOwner(usize, u64, Ask),
+    ToOwner(usize, u64, BorrowRequest),
     ToSite(usize, u64, Reply),
     Committed(u64, Watermark),
 }
@@ -75,11 +77,11 @@
     sequence: u64,
 }
 
-fn timing(holding: Duration) -> Timing {
+fn timing(overrun: Duration) -> Timing {
     Timing {
         lease: Duration::from_millis(500),
         drift: 1_000,
-        holding,
+        overrun,
     }
 }
 
@@ -125,14 +127,14 @@
     pub(crate) fn start_owner(&mut self) {
         self.term += 1;
         let clock = clock(&mut self.rng);
-        let holding = if self.fault == Fault::HoldingIgnored {
+        let overrun = if self.fault == Fault::HoldingIgnored {
             Duration::ZERO
         } else {
             HOLDING
         };
         let now = clock.now(self.now);
         let limits = Limits::slots(SLOTS);
-        let lender = Lender::owner(now, self.term, limits, timing(holding), self.log.clone());
+        let lender = Lender::owner(now, self.term, limits, timing(overrun), self.log.clone());
         self.owner = Some((clock, lender));
     }
 
@@ -141,7 +143,7 @@
     }
 
     pub(crate) fn start_leader(&mut self, c: usize) {
-        let holding = if self.fault == Fault::ShareTooEarly {
+        let overrun = if self.fault == Fault::ShareTooEarly {
             Duration::ZERO
         } else {
             HOLDING
@@ -151,7 +153,7 @@
         site.led = self.now;
         let now = site.clock.now(self.now);
         let limits = Limits::slots(SLOTS);
-        let slots = Slots::new(now, site.term, limits, timing(holding), site.share);
+        let slots = CentreSlots::new(now, site.term, limits, timing(overrun), site.share);
         site.slots = Some(slots);
     }
 
@@ -229,10 +231,10 @@
         );
         site.share = slots.share();
         if slots.is_due(now) {
-            let ask = slots.ask(now);
+            let request = slots.borrow_request(now);
             let term = site.term;
             self.post(Place::Centre(c), Place::Owner, || {
-                Event::ToOwner(c, term, ask.clone())
+                Event::ToOwner(c, term, request.clone())
             });
         }
     }
@@ -243,22 +245,22 @@
         };
         let now = clock.now(self.now);
         lender.tick(now);
-        if let Some(mark) = lender.propose(now) {
+        if let Some(watermark) = lender.propose(now) {
             let delay = Duration::from_micros(self.rng.random_range(500..3_000));
-            self.schedule(delay, Event::Committed(self.term, mark));
+            self.schedule(delay, Event::Committed(self.term, watermark));
         }
     }
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::ToOwner(c, term, ask) => {
+            Event::ToOwner(c, term, request) => {
                 let count = self.centres.len();
                 let Some((clock, lender)) = &mut self.owner else {
                     return;
                 };
                 let now = clock.now(self.now);
                 lender.set_shares(now, [(name(c), Share::equal(count))]);
-                let reply = lender.handle(now, &name(c), &ask);
+                let reply = lender.handle(now, &name(c), &request);
                 self.post(Place::Owner, Place::Centre(c), || {
                     Event::ToSite(c, term, reply.clone())
                 });
@@ -267,16 +269,16 @@
                 let site = &mut self.centres[c];
                 let now = site.clock.now(self.now);
                 if let Some(slots) = site.slots.as_mut().filter(|_| site.term == term) {
-                    slots.hear(now, &reply);
+                    slots.handle_reply(now, &reply);
                 }
             }
-            Event::Committed(term, mark) => {
+            Event::Committed(term, watermark) => {
                 if term != self.term {
                     return;
                 }
-                self.log = Some(mark.clone());
+                self.log = Some(watermark.clone());
                 if let Some((clock, lender)) = &mut self.owner {
-                    lender.commit(clock.now(self.now), &mark);
+                    lender.commit(clock.now(self.now), &watermark);
                 }
             }
         }
--- a/crates/sequoiawing_budget/tests/support/world.rs
+++ b/crates/sequoiawing_budget/tests/support/world.rs
@@ -5,7 +5,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sequoiawing_budget::{
-    Admission, Ask, Centre, Charge, Denial, Lender, Purse, Refill, Reply, Share, Watermark,
+    Admission, BorrowRequest, CentreBudget, Charge, Denial, Lender, Refill, Reply, RouterBudget,
+    Share, Watermark,
 };
 use sequoiawing_types::{Name, Time};
 use std::{
@@ -31,7 +32,7 @@
 pub(super) struct Cell {
     pub(super) leader: usize,
     pub(super) term: u64,
-    pub(super) centre: Option<Centre>,
+    pub(super) centre: Option<CentreBudget>,
     pub(super) routers: Vec<Router>,
 }
 
@@ -41,10 +42,10 @@
 }
 
 pub(super) enum Event {
-    ToOwner(usize, u64, Ask),
+    ToOwner(usize, u64, BorrowRequest),
     ToCentre(usize, u64, Reply),
     WakeCentre(usize),
-    ToLeader(usize, usize, u64, Ask),
+    ToLeader(usize, usize, u64, BorrowRequest),
     ToRouter(usize, usize, u64, Reply),
     WakeRouter(usize, usize),
     Committed(u64, Watermark),
@@ -193,8 +194,8 @@
         if self.settings.limits.refill != Refill::OnReturn {
             return;
         }
-        let purse = router.admission.purse();
-        let is_over = |c: &Charge| !purse.is_leased(now, c);
+        let budget = router.admission.budget();
+        let is_over = |c: &Charge| !budget.is_leased(now, c);
         let over: Vec<_> = router.open.iter().filter(|(_, c)| is_over(c)).collect();
         let over: Vec<_> = over.into_iter().map(|(i, c)| (*i, *c)).collect();
         for (index, charge) in over {
@@ -268,13 +269,16 @@
         };
         let now = owner.clock.now(self.now);
         owner.lender.tick(now);
-        let mark = owner.lender.propose(now);
-        if let Some(mut mark) = mark {
+        let watermark = owner.lender.propose(now);
+        if let Some(mut watermark) = watermark {
             if self.settings.plant == Plant::ShareBeforeRelease {
-                mark.shares.values_mut().for_each(|s| *s = Share::WHOLE);
+                watermark
+                    .shares
+                    .values_mut()
+                    .for_each(|s| *s = Share::WHOLE);
             }
             let delay = Duration::from_micros(self.rng.random_range(500..3_000));
-            self.schedule(delay, Event::Committed(self.term, mark));
+            self.schedule(delay, Event::Committed(self.term, watermark));
         }
     }
 
@@ -317,10 +321,10 @@
         let Some(centre) = &mut cell.centre else {
             return;
         };
-        let ask = centre.ask(now);
-        self.network.count(Place::Centre(c), &ask);
+        let request = centre.borrow_request(now);
+        self.network.count(Place::Centre(c), &request);
         self.post(Place::Centre(c), Place::Owner, || {
-            Event::ToOwner(c, term, ask.clone())
+            Event::ToOwner(c, term, request.clone())
         });
     }
 
@@ -344,11 +348,11 @@
     pub(super) fn ask_leader(&mut self, c: usize, r: usize) {
         let router = &mut self.cells[c].routers[r];
         let now = router.clock.now(self.now);
-        let ask = router.admission.ask(now);
-        self.network.count(Place::Router(c, r), &ask);
+        let request = router.admission.borrow_request(now);
+        self.network.count(Place::Router(c, r), &request);
         let incarnation = router.incarnation;
         self.post(Place::Router(c, r), Place::Centre(c), || {
-            Event::ToLeader(c, r, incarnation, ask.clone())
+            Event::ToLeader(c, r, incarnation, request.clone())
         });
     }
 }
@@ -361,11 +365,11 @@
 ) -> Router {
     let clock = clock(settings, rng);
     let refill = settings.limits.refill;
-    let purse = Purse::new(clock.now(now), incarnation, refill, settings.timing);
+    let budget = RouterBudget::new(clock.now(now), incarnation, refill, settings.timing);
     Router {
         clock,
         incarnation,
-        admission: Admission::new(purse, settings.patience),
+        admission: Admission::new(budget, settings.patience),
         open: BTreeMap::new(),
     }
 }
--- a/crates/sequoiawing_controller/src/budgets.rs
+++ b/crates/sequoiawing_controller/src/budgets.rs
@@ -2,7 +2,9 @@
 
 use crate::ControllerHandle;
 use parking_lot::Mutex;
-use sequoiawing_budget::{Ask, Lender, LenderView, Limits, Reply, Share, Timing, Watermark};
+use sequoiawing_budget::{
+    BorrowRequest, Lender, LenderView, Limits, Reply, Share, Timing, Watermark,
+};
 use sequoiawing_link::{BudgetBatch, BudgetReplies};
 use sequoiawing_runtime::{Clock, Shutdown, Watch, sleep, spawn, timeout};
 use sequoiawing_tables::{Command, Outcome, Revision, Tables};
@@ -191,7 +193,7 @@
             if is_committed {
                 lender.commit(now, mark);
             } else {
-                lender.give_up();
+                lender.abandon_proposal();
             }
         }
     }
@@ -261,7 +263,7 @@
             if lender.limits() != planned.limits {
                 lender.set_limits(now, planned.limits);
             }
-            lender.set_holding(planned.timing.holding);
+            lender.set_overrun(planned.timing.overrun);
             let shares = centres.iter().map(|c| {
                 let equal = Share::equal(centres.len());
                 let own = planned.shares.get(*c).copied();
@@ -283,7 +285,7 @@
         tables: &Tables,
         budget: &Name,
         centre: &Name,
-        ask: &Ask,
+        ask: &BorrowRequest,
     ) -> Option<Reply> {
         self.configure(now, tables);
         let lender = self.lenders.get_mut(budget)?;
--- a/crates/sequoiawing_link/src/budget.rs
+++ b/crates/sequoiawing_link/src/budget.rs
@@ -1,4 +1,4 @@
-use sequoiawing_budget::{Ask, Reply};
+use sequoiawing_budget::{BorrowRequest, Reply};
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
     /// The borrower: a host to its cell leader, a data centre to the owner.
     pub borrower: Name,
     /// The messages by budget.
-    pub asks: Vec<(Name, Ask)>,
+    pub asks: Vec<(Name, BorrowRequest)>,
 }
 
 /// The answers by budget; nothing when the process that was asked does not
--- a/crates/sequoiawing_router/src/controllers/led_budgets.rs
+++ b/crates/sequoiawing_router/src/controllers/led_budgets.rs
@@ -1,6 +1,6 @@
 use crate::RouterState;
 use parking_lot::Mutex;
-use sequoiawing_budget::{Ask, Centre, Limits, Refill, Reply, Slots, Timing};
+use sequoiawing_budget::{BorrowRequest, CentreBudget, CentreSlots, Limits, Refill, Reply, Timing};
 use sequoiawing_link::{BudgetBatch, BudgetReplies};
 use sequoiawing_runtime::Watch;
 use sequoiawing_types::{Name, Time};
@@ -10,15 +10,21 @@
 #[derive(Default)]
 pub(super) struct Led {
     term: u64,
-    centres: BTreeMap<Name, Centre>,
-    slots: BTreeMap<Name, Slots>,
+    centres: BTreeMap<Name, CentreBudget>,
+    slots: BTreeMap<Name, CentreSlots>,
 }
 
 impl Led {
     /// Answers a router.
-    fn answer(&mut self, now: Time, budget: &Name, from: &Name, ask: &Ask) -> Option<Reply> {
+    fn answer(
+        &mut self,
+        now: Time,
+        budget: &Name,
+        from: &Name,
+        ask: &BorrowRequest,
+    ) -> Option<Reply> {
         if let Some(slots) = self.slots.get(budget) {
-            return Some(slots.tell(now, self.term, ask));
+            return Some(slots.router_reply(now, self.term, ask));
         }
         let centre = self.centres.get_mut(budget)?;
         Some(centre.handle(now, from, ask))
@@ -27,18 +33,18 @@
     /// Takes in the owner's reply.
     pub(super) fn hear(&mut self, now: Time, budget: &Name, reply: &Reply) {
         if let Some(slots) = self.slots.get_mut(budget) {
-            slots.hear(now, reply);
+            slots.handle_reply(now, reply);
         } else if let Some(centre) = self.centres.get_mut(budget) {
-            centre.hear(now, reply);
+            centre.handle_reply(now, reply);
         }
     }
 
     /// Has the owner asked at once.
     pub(super) fn poke(&mut self, budget: &Name) {
         if let Some(slots) = self.slots.get_mut(budget) {
-            slots.poke();
+            slots.mark_due();
         } else if let Some(centre) = self.centres.get_mut(budget) {
-            centre.poke();
+            centre.mark_due();
         }
     }
 }
@@ -127,7 +133,7 @@
             return;
         }
         let share = self.purses.share(now, budget);
-        let centre = Centre::new(now, led.term, limits, Timing::default(), share);
+        let centre = CentreBudget::new(now, led.term, limits, Timing::default(), share);
         led.centres.insert(budget.clone(), centre);
     }
 
@@ -141,11 +147,11 @@
     ) {
         if let Some(slots) = led.slots.get_mut(budget) {
             slots.set_limits(limits);
-            slots.set_holding(timing.holding);
+            slots.set_overrun(timing.overrun);
             return;
         }
         let share = self.purses.share(now, budget);
-        let slots = Slots::new(now, led.term, limits, timing, share);
+        let slots = CentreSlots::new(now, led.term, limits, timing, share);
         led.slots.insert(budget.clone(), slots);
     }
 
@@ -169,13 +175,13 @@
             for (budget, centre) in &mut led.centres {
                 centre.tick(now);
                 if centre.is_due(now) {
-                    asks.push((budget.clone(), centre.ask(now)));
+                    asks.push((budget.clone(), centre.borrow_request(now)));
                 }
             }
             for (budget, slots) in &mut led.slots {
                 slots.tick(now);
                 if slots.is_due(now) {
-                    asks.push((budget.clone(), slots.ask(now)));
+                    asks.push((budget.clone(), slots.borrow_request(now)));
                 }
             }
             asks
--- a/crates/sequoiawing_router/src/filters/limit.rs
+++ b/crates/sequoiawing_router/src/filters/limit.rs
@@ -48,7 +48,7 @@
         let reserving = self.state.limiter.reserve(now, &customer, tokens);
         let left = exchange.latest().since(now);
         let reserved = timeout(left, reserving).await;
-        let late = Err(Denial::Silent(RETRY));
+        let late = Err(Denial::Unavailable(RETRY));
         let reservation = reserved.unwrap_or(late).map_err(refuse)?;
         let mut meter = Meter {
             state: self.state.clone(),
@@ -77,11 +77,11 @@
 
 fn refuse(denial: Denial) -> Refused {
     let (code, problem, retry) = match denial {
-        Denial::Spent(retry) => {
+        Denial::Exhausted(retry) => {
             let problem = "the customer's rate and burst are used up";
             (Code::RateLimited, problem, retry)
         }
-        Denial::Silent(retry) => {
+        Denial::Unavailable(retry) => {
             let problem = "no lender of the customer's budget answered in time";
             (Code::Unavailable, problem, retry)
         }
--- a/crates/sequoiawing_router/src/limiter/local.rs
+++ b/crates/sequoiawing_router/src/limiter/local.rs
@@ -35,7 +35,7 @@
         }
         let missing = tokens - bucket.tokens;
         let micros = missing.saturating_mul(1_000_000) / customer.rate.max(1);
-        Err(Denial::Spent(Duration::from_micros(micros)))
+        Err(Denial::Exhausted(Duration::from_micros(micros)))
     }
 }
 
--- a/crates/sequoiawing_router/src/limiter/shared.rs
+++ b/crates/sequoiawing_router/src/limiter/shared.rs
@@ -2,7 +2,7 @@
 use async_channel::{Receiver, Sender};
 use parking_lot::{Mutex, RwLock};
 use sequoiawing_budget::{
-    Admission, Ask, Charge, Decision, Denial, Purse, Refill, Reply, Share, Timing,
+    Admission, BorrowRequest, Charge, Decision, Denial, Refill, Reply, RouterBudget, Share, Timing,
 };
 use sequoiawing_tables::Customer;
 use sequoiawing_types::{Name, Time};
@@ -93,14 +93,14 @@
             let reserve = customer.burst / RESERVE_PART;
             let mut inner = budget.inner.lock();
             inner.admission.set_reserve(reserve);
-            is_served &= inner.admission.purse().is_served();
+            is_served &= inner.admission.budget().is_served();
         }
         self.ready.fetch_or(is_served, Ordering::Relaxed);
     }
 
     /// Takes in a budget that no customer has, and asks for its share again.
     pub(crate) fn refresh(&self, now: Time, budget: &Name) {
-        self.budget(now, budget).inner.lock().admission.poke();
+        self.budget(now, budget).inner.lock().admission.mark_due();
     }
 
     /// Reports whether, at one moment since the start, a lender had answered
@@ -113,14 +113,14 @@
     }
 
     /// Returns the messages for the cell leader that are due.
-    pub(crate) fn asks(&self, now: Time) -> Vec<(Name, Ask)> {
+    pub(crate) fn asks(&self, now: Time) -> Vec<(Name, BorrowRequest)> {
         let mut asks = Vec::new();
         for (customer, budget) in self.all() {
             let mut inner = budget.inner.lock();
             inner.admission.tick(now);
             inner.poll(now);
             if inner.admission.is_due(now) {
-                asks.push((customer, inner.admission.ask(now)));
+                asks.push((customer, inner.admission.borrow_request(now)));
             }
         }
         asks
@@ -131,7 +131,7 @@
         for (customer, reply) in replies {
             let budget = self.budget(now, &customer);
             let mut inner = budget.inner.lock();
-            inner.admission.hear(now, &reply);
+            inner.admission.handle_reply(now, &reply);
             inner.poll(now);
             if inner.admission.is_due(now) {
                 self.due.0.try_send(()).ok();
@@ -143,7 +143,7 @@
     /// return credit.
     pub(crate) fn poke(&self, now: Time, customers: &[Name]) {
         for customer in customers {
-            self.budget(now, customer).inner.lock().admission.poke();
+            self.budget(now, customer).inner.lock().admission.mark_due();
         }
         self.due.0.try_send(()).ok();
     }
@@ -160,7 +160,7 @@
     pub(crate) fn share(&self, now: Time, customer: &Name) -> Share {
         let budget = self.budget(now, customer);
         let inner = budget.inner.lock();
-        inner.admission.purse().share()
+        inner.admission.budget().share()
     }
 
     /// Returns the purses as JSON, for the dump.
@@ -190,9 +190,9 @@
         }
         let refill = Refill::PerSecond(0);
         let make = || {
-            let purse = Purse::new(now, self.incarnation, refill, Timing::default());
+            let purse = RouterBudget::new(now, self.incarnation, refill, Timing::default());
             let mut admission = Admission::new(purse, PATIENCE);
-            admission.poke();
+            admission.mark_due();
             let waiting = HashMap::new();
             let inner = Mutex::new(Inner { admission, waiting });
             Arc::new(CustomerBudget { inner })
@@ -245,7 +245,7 @@
             Self::Decided(decision) => decision,
             Self::Waits(waiter) => {
                 let received = waiter.receiver.recv().await;
-                received.unwrap_or(Err(Denial::Silent(PATIENCE)))
+                received.unwrap_or(Err(Denial::Unavailable(PATIENCE)))
             }
         }
     }
--- a/crates/sequoiawing_tables/src/store.rs
+++ b/crates/sequoiawing_tables/src/store.rs
@@ -49,7 +49,7 @@
     /// A start is over at once; only what holds a slot goes on after its lease.
     pub fn budgets(&self) -> [(Name, Limits, Timing); 3] {
         let slots = Timing {
-            holding: Duration::from_secs(self.longest),
+            overrun: Duration::from_secs(self.longest),
             ..Timing::default()
         };
         let starts = Limits::tokens(self.starts, self.starts);
