--- a/crates/sequoiawing_budget/examples/fast_path.rs
+++ b/crates/sequoiawing_budget/examples/fast_path.rs
@@ -1,4 +1,6 @@
-//! Measures, by hand, what a request costs that the purse covers:
+//! Measures the time and allocations of a request that the local credit covers.
+//!
+//! Run it with
 //! `cargo run --release -p sequoiawing_budget --example fast_path`.
 
 use sequoiawing_budget::{Admission, Refill, Reply, RouterBudget, Timing};
@@ -12,11 +14,11 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// The requests that are timed.
+/// The number of timed requests.
 const REQUESTS: u32 = 2_000_000;
 
-/// The requests between two reports to the cell leader, as at 10,000 requests a
-/// second.
+/// The number of requests per report to the cell leader, as at 10,000 requests
+/// per second.
 const REPORT: u32 = 100;
 
 fn main() {
@@ -53,7 +55,9 @@
     let start = Instant::now();
     for i in 0..REQUESTS {
         let decision = admission.request(now, u64::from(i), 100);
-        let charge = decision.expect("it is covered").expect("it is admitted");
+        let charge = decision
+            .expect("the credit covers the request")
+            .expect("the request is admitted");
         admission.settle(now, charge, 40);
         if i % REPORT == 0 {
             let request = admission.borrow_request(now);
--- a/crates/sequoiawing_budget/src/admission.rs
+++ b/crates/sequoiawing_budget/src/admission.rs
@@ -3,15 +3,15 @@
 use serde::Serialize;
 use std::{collections::VecDeque, time::Duration};
 
-/// What became of a request.
+/// The outcome of a request for credit.
 pub type Decision = Result<Charge, Denial>;
 
-/// Why a request was not charged, and when asking again may help.
+/// Why a request was not charged, with the time after which to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// The rate and burst are used up.
+    /// The rate and burst are exhausted.
     Exhausted(Duration),
-    /// No lender said in time whether there is credit.
+    /// No lender replied in time whether there is credit.
     Unavailable(Duration),
 }
 
@@ -20,15 +20,15 @@
     id: u64,
     tokens: u64,
     since: Time,
-    /// When a lender first answered while the request waited.
+    /// When a lender first replied while the request was waiting.
     answered: Option<Time>,
 }
 
 /// Admits the requests of one customer on one router.
 ///
-/// Requests that the purse does not cover wait in order for the round trip to
-/// the cell leader and the owner, for at most `patience`; when these do not
-/// answer, until the data centre lends by itself.
+/// Requests that exceed the local credit wait in a FIFO queue for the round
+/// trip to the cell leader and the owner, for at most `patience`. If no lender
+/// replies, they wait until the data centre lends autonomously.
 #[derive(Clone, Debug, Serialize)]
 pub struct Admission {
     #[serde(rename = "purse")]
@@ -38,7 +38,7 @@
 }
 
 impl Admission {
-    /// Returns an admission without waiting requests.
+    /// Returns an admission with an empty queue.
     pub fn new(budget: RouterBudget, patience: Duration) -> Self {
         Self {
             budget,
@@ -47,18 +47,18 @@
         }
     }
 
-    /// Returns the purse.
+    /// Returns the router's credit.
     pub fn budget(&self) -> &RouterBudget {
         &self.budget
     }
 
-    /// Sets the credit that is held beyond what requests need.
+    /// Sets the credit to hold beyond what requests need.
     pub fn set_reserve(&mut self, reserve: u64) {
         self.budget.set_reserve(reserve);
     }
 
-    /// Decides about a request, or keeps it waiting until [`Self::poll`]
-    /// returns its `id`.
+    /// Decides on a request, or queues it until [`Self::poll`] returns its
+    /// `id`.
     pub fn request(&mut self, now: Time, id: u64, tokens: u64) -> Option<Decision> {
         if self.waiting.is_empty() {
             match self.budget.charge(now, tokens) {
@@ -78,13 +78,13 @@
         None
     }
 
-    /// Forgets a request whose caller has left.
+    /// Removes a request from the queue after its caller disconnected.
     pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|w| w.id != id);
         self.update_need();
     }
 
-    /// Decides about the requests that waited.
+    /// Appends to `out` the queued requests that can be decided now.
     pub fn poll(&mut self, now: Time, out: &mut Vec<(u64, Decision)>) {
         let answered = self.budget.last_answer();
         for one in &mut self.waiting {
@@ -105,8 +105,9 @@
         self.update_need();
     }
 
-    /// Reports whether a request has waited long enough: for `patience` when
-    /// lenders answer, or else until the data centre lends by itself.
+    /// Returns whether a request has timed out: after `patience` if a lender
+    /// has replied, otherwise when the data centre should have started to lend
+    /// autonomously.
     fn is_over(&self, now: Time, waiting: &Waiting) -> bool {
         match waiting.answered {
             Some(answered) => now >= answered + self.patience,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Tells why a request that has waited long enough was not charged.
+    /// Returns why a request that timed out was not charged.
     fn denial(&self, waiting: &Waiting) -> Denial {
         if self.budget.last_unmet() >= waiting.since {
             Denial::Exhausted(self.patience)
@@ -123,37 +124,37 @@
         }
     }
 
-    /// Gives back what a request did not use.
+    /// Refunds the credit that a request did not use.
     pub fn settle(&mut self, now: Time, charge: Charge, used: u64) {
         self.budget.settle(now, charge, used);
     }
 
-    /// Lets time pass.
+    /// Advances the time to `now`.
     pub fn tick(&mut self, now: Time) {
         self.budget.tick(now);
     }
 
-    /// Reports whether the cell leader should be asked now.
+    /// Returns whether a request to the cell leader is due.
     pub fn is_due(&self, now: Time) -> bool {
         self.budget.is_due(now)
     }
 
-    /// Has the cell leader asked at once.
+    /// Makes a request to the cell leader due at once.
     pub fn mark_due(&mut self) {
         self.budget.mark_due();
     }
 
-    /// Reports whether requests wait.
+    /// Returns whether requests are queued.
     pub fn is_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Returns the message to the cell leader.
+    /// Returns the next request to the cell leader.
     pub fn borrow_request(&mut self, now: Time) -> BorrowRequest {
         self.budget.borrow_request(now)
     }
 
-    /// Takes in the cell leader's reply.
+    /// Processes a reply from the cell leader.
     pub fn handle_reply(&mut self, now: Time, reply: &Reply) {
         self.budget.handle_reply(now, reply);
     }
--- a/crates/sequoiawing_budget/src/borrower.rs
+++ b/crates/sequoiawing_budget/src/borrower.rs
@@ -2,23 +2,24 @@
 use sequoiawing_types::Time;
 use serde::Serialize;
 
-/// Sessions of one holder count up below this bit; above it stands the
-/// holder's incarnation, so that a successor's session is always later.
+/// The number of low bits that count the sessions of one holder. The high bits
+/// are the holder's incarnation, so a successor's session is always later.
 pub(crate) const HOLDER_SHIFT: u32 = 20;
 
-/// What a reply means to a borrower.
+/// The effect of a reply on a borrower.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ReplyOutcome {
-    /// It is older than what the borrower knows.
+    /// The reply is outdated and was ignored.
     Stale,
-    /// The borrower must settle what it holds and start a new session with
-    /// [`Borrower::accept`].
+    /// The borrower must settle the credit that it holds and start a new
+    /// session with [`Borrower::start_session`].
     Invited,
-    /// The lease is renewed and this much credit was granted.
+    /// The lease is renewed and this much new credit was granted.
     Granted(u64),
 }
 
-/// One end of the exchange with a lender: sessions, leases and counters.
+/// The borrower's state in the protocol with a lender: sessions, leases and
+/// counters.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Borrower {
     timing: Timing,
@@ -31,15 +32,16 @@
     #[serde(rename = "invitation")]
     pending_invitation: u64,
     stamp: Time,
-    /// When the last reply came.
+    /// When the last reply arrived.
     #[serde(rename = "heard")]
     pub(crate) last_reply: Time,
-    /// Whether the lender knew what it may lend when it last answered.
+    /// Whether the lender knew how much it may lend when it last replied.
     pub(crate) ready: bool,
-    /// Until when credit may be used.
+    /// When the lease expires.
     pub(crate) lease: Time,
     balance: u64,
-    /// Whether credit accrued here since a lender last confirmed a session.
+    /// Whether credit accrued autonomously since a lender last confirmed a
+    /// session.
     #[serde(rename = "alone")]
     pub(crate) autonomous: bool,
     granted: u64,
@@ -50,9 +52,9 @@
 }
 
 impl Borrower {
-    /// Returns a borrower that no lender knows yet.
+    /// Returns a borrower that is not yet known to any lender.
     ///
-    /// `incarnation` must be higher than that of any earlier holder.
+    /// `incarnation` must be higher than that of every earlier holder.
     pub(crate) fn new(now: Time, incarnation: u64, timing: Timing) -> Self {
         Self {
             timing,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Returns a message without needs.
+    /// Returns a request without needs.
     pub(crate) fn borrow_request(&mut self, now: Time) -> BorrowRequest {
         BorrowRequest {
             lender_term: self.lender_term,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Takes in a reply.
+    /// Processes a reply.
     pub(crate) fn handle_reply(&mut self, now: Time, reply: &Reply) -> ReplyOutcome {
         let is_old = reply.lender_term == self.lender_term && reply.stamp <= self.stamp;
         if reply.lender_term < self.lender_term || is_old {
@@ -125,7 +127,8 @@
         ReplyOutcome::Granted(new_credit)
     }
 
-    /// Starts a new session that holds `balance`.
+    /// Accepts the pending invitation and starts a session that holds
+    /// `balance`.
     pub(crate) fn start_session(&mut self, balance: u64) {
         self.invitation = self.pending_invitation;
         self.session += 1;
@@ -135,35 +138,37 @@
         self.journal = Journal::default();
     }
 
-    /// Notes credit that will not be used here.
+    /// Returns unused credit to the lender with the next request.
     pub(crate) fn return_credit(&mut self, tokens: u64) {
         self.returned += tokens;
     }
 
-    /// Leaves the lender until it answers again.
+    /// Leaves the lender until it invites the borrower again.
     pub(crate) fn disconnect(&mut self) {
         self.invitation = 0;
         self.autonomous = true;
     }
 
-    /// Returns the holder's sessions so far, which never repeat.
+    /// Returns the ID of the current session, which never repeats.
     pub(crate) fn session(&self) -> u64 {
         self.session
     }
 
-    /// Reports whether credit may be used.
+    /// Returns whether the lease is valid, so that credit may be used.
     pub(crate) fn may_use(&self, now: Time) -> bool {
         now < self.lease
     }
 
-    /// Reports whether every lease that was passed on has run out.
+    /// Returns whether the lease has expired on every clock, including leases
+    /// that were lent on.
     pub(crate) fn has_expired(&self, now: Time) -> bool {
         now >= self.lease + self.timing.max_lease().saturating_sub(self.timing.lease)
     }
 
-    /// Reports whether nothing was heard from the lender for two leases: one
-    /// until the owner notices, and one until what others were lent beyond
-    /// their shares has run out.
+    /// Returns whether no reply has arrived for two leases.
+    ///
+    /// The owner needs one lease to notice. The credit that others borrowed
+    /// beyond their shares expires within the second.
     pub(crate) fn is_disconnected(&self, now: Time) -> bool {
         self.has_expired(now) && now >= self.last_reply + self.timing.lease * 2
     }
--- a/crates/sequoiawing_budget/src/bucket.rs
+++ b/crates/sequoiawing_budget/src/bucket.rs
@@ -2,19 +2,20 @@
 use sequoiawing_types::Time;
 use serde::{Deserialize, Serialize};
 
-/// When credit was spent, in terms of the bucket that it came from.
+/// Records the state of the bucket from which credit was spent.
 ///
-/// A refund is worth less the more has accrued at the cap since then; see
-/// [docs/design/budgets.md](../../../docs/design/budgets.md).
+/// Credit that accrues while the bucket is full reduces the value of later
+/// refunds. See [docs/design/budgets.md](../../../docs/design/budgets.md).
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Tag {
-    /// The period in which one bucket counted.
+    /// The bucket that the credit came from; a new lender starts a new one.
     #[serde(rename = "regime")]
     pub generation: u64,
-    /// How often every refund was forfeited.
+    /// How many times all outstanding refunds were forfeited.
     pub episode: u64,
-    /// The part of a refund that is not forfeited, against `FULL_INDEX`.
+    /// The fraction of a refund that is not forfeited, relative to
+    /// `FULL_INDEX`.
     pub index: u64,
 }
 
@@ -24,16 +25,17 @@
 /// The index below which an episode ends.
 const MIN_INDEX: u64 = 1 << 20;
 
-/// Shares of a rate accrue in millionths of tokens a microsecond.
+/// The units of `Bucket::fraction` in one token: rates are per second, time is
+/// in microseconds and shares are in millionths.
 const FRACTION: u128 = 1_000_000_000_000;
 
-/// The credit that nobody holds.
+/// A token bucket: the credit that is not lent to anyone.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Bucket {
     balance: u64,
     fraction: u64,
     updated: Time,
-    /// The most that may still be refunded of what was spent.
+    /// The maximum that may still be refunded of the spent tokens.
     refundable: u64,
     tag: Tag,
 }
@@ -62,12 +64,12 @@
         self.tag
     }
 
-    /// Passes on the tag of the bucket that credit is borrowed from.
+    /// Adopts the tag of the bucket that the credit is borrowed from.
     pub(crate) fn set_tag(&mut self, tag: Tag) {
         self.tag = tag;
     }
 
-    /// Lets credit accrue at a share of the rate, up to `cap`.
+    /// Accrues credit at a share of the rate, up to `cap`.
     pub(crate) fn fill(&mut self, now: Time, limits: &Limits, share: Share, cap: u64) {
         let rate = match limits.refill {
             Refill::PerSecond(rate) => rate,
@@ -86,7 +88,8 @@
         self.forfeit(cap - self.balance);
     }
 
-    /// Keeps balance and possible refunds together within the cap.
+    /// Reduces possible refunds to `room`, so that the balance and all refunds
+    /// together stay within the cap.
     fn forfeit(&mut self, room: u64) {
         if self.refundable <= room {
             return;
@@ -100,14 +103,14 @@
         }
     }
 
-    /// Takes up to `tokens` and returns how many were there.
+    /// Takes up to `tokens` and returns how many were taken.
     pub(crate) fn take(&mut self, tokens: u64) -> u64 {
         let taken = tokens.min(self.balance);
         self.balance -= taken;
         taken
     }
 
-    /// Puts back tokens that were taken and not spent.
+    /// Returns tokens to the bucket that were taken but not spent.
     pub(crate) fn put(&mut self, tokens: u64) {
         self.balance = self.balance.saturating_add(tokens);
     }
@@ -117,13 +120,14 @@
         self.balance = self.balance.min(cap);
     }
 
-    /// Notes tokens that were taken and are now spent.
+    /// Records that tokens taken earlier were spent.
     pub(crate) fn spend(&mut self, tokens: u64, tag: Tag) {
         self.refundable += self.refund_value(tokens, tag);
     }
 
-    /// Takes back the unused part of a charge, as far as the bucket would hold
-    /// it had it never been spent, and returns how much that was.
+    /// Refunds the unused part of a charge and returns the refunded amount.
+    ///
+    /// Refunds only what the bucket would hold now if it had never been spent.
     pub(crate) fn refund(&mut self, charged: u64, unused: u64, tag: Tag) -> u64 {
         let refund_value = self.refund_value(charged, tag).min(self.refundable);
         self.refundable -= refund_value;
@@ -132,7 +136,7 @@
         refund
     }
 
-    /// Returns what a charge could be refunded by now.
+    /// Returns the maximum refund that a charge is still worth.
     fn refund_value(&self, tokens: u64, tag: Tag) -> u64 {
         if (tag.generation, tag.episode) != (self.tag.generation, self.tag.episode) {
             return 0;
--- a/crates/sequoiawing_budget/src/centre_budget.rs
+++ b/crates/sequoiawing_budget/src/centre_budget.rs
@@ -6,23 +6,24 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, time::Duration};
 
-/// How long an owner's refusal answers further requests of the data centre.
+/// How long a refusal by the owner also applies to further requests of the data
+/// centre.
 const REFUSAL_LIFETIME: Duration = Duration::from_millis(10);
 
-/// How often the owner is asked while routers wait.
+/// The interval of requests to the owner while routers wait for credit.
 const NEED_INTERVAL: Duration = Duration::from_millis(3);
 
-/// The parts of a lease after which the owner hears from the data centre.
+/// How many requests are sent to the owner within one lease duration.
 const HEARTBEATS_PER_LEASE: u32 = 4;
 
-/// The part of the burst that a data centre holds so that it has some credit
-/// until it notices that it is cut off.
+/// The divisor of the burst that yields a data centre's reserve. The reserve
+/// lasts until the data centre detects that it is disconnected.
 const RESERVE_DIVISOR: u64 = 16;
 
-/// How long a router's need counts after it was last told.
+/// How long a router's need is remembered after it was last reported.
 const NEED_LIFETIME: Duration = Duration::from_millis(20);
 
-/// What one router is short of.
+/// The credit that one router lacks.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct RouterNeed {
     at: Time,
@@ -31,7 +32,7 @@
     head_need: u64,
 }
 
-/// What the owner refused.
+/// A refusal by the owner.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Refusal {
     at: Time,
@@ -40,10 +41,10 @@
     retry: Duration,
 }
 
-/// A data centre's part of one budget, at the leader of its cell.
+/// A data centre's part of one budget, run by the leader of its cell.
 ///
-/// It borrows from the owner and lends to its routers; when it has heard
-/// nothing from the owner for a lease, it accrues its own share.
+/// It borrows from the owner and lends to its routers. When the owner has not
+/// replied for two leases, it accrues its own share autonomously.
 #[derive(Clone, Debug, Serialize)]
 pub struct CentreBudget {
     limits: Limits,
@@ -59,7 +60,7 @@
     #[serde(rename = "head")]
     head_need: u64,
     want: u64,
-    /// When the owner was first told of the need.
+    /// When the need was first reported to the owner.
     #[serde(rename = "told")]
     need_since: Option<Time>,
     #[serde(rename = "asked")]
@@ -69,13 +70,15 @@
 }
 
 impl CentreBudget {
-    /// Returns the part of a leader that has just won its cell's `term`.
+    /// Returns the budget of a leader that was just elected for its cell's
+    /// `term`.
     ///
-    /// `share` is the last cut-off share that the data centre was given.
+    /// `share` is the last known share that the data centre accrues when it is
+    /// disconnected.
     pub fn new(now: Time, term: u64, limits: Limits, timing: Timing, share: Share) -> Self {
         let mut borrower = Borrower::new(now, term, timing);
         borrower.share = share;
-        // Whether a predecessor did is not known.
+        // It is unknown whether a predecessor accrued credit.
         borrower.autonomous = true;
         Self {
             limits,
@@ -94,33 +97,33 @@
         }
     }
 
-    /// Puts other limits in force.
+    /// Applies new limits.
     pub fn set_limits(&mut self, now: Time, limits: Limits) {
         self.limits = limits;
         self.lender.set_limits(now, limits);
     }
 
-    /// Returns the limits in force.
+    /// Returns the current limits.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Returns the share that the data centre accrues when it is cut off.
+    /// Returns the share that the data centre accrues when it is disconnected.
     pub fn share(&self) -> Share {
         self.borrower.share
     }
 
-    /// Reports whether the data centre accrues by itself.
+    /// Returns whether the data centre accrues its own share.
     pub fn is_autonomous(&self) -> bool {
         self.is_autonomous
     }
 
-    /// Returns the routers that were told to return credit.
+    /// Returns the routers from which credit is recalled.
     pub fn recalled(&self) -> impl Iterator<Item = &Name> {
         self.lender.recalled()
     }
 
-    /// Takes in a router's message and answers it.
+    /// Processes a router's request and returns the reply.
     pub fn handle(&mut self, now: Time, router: &Name, request: &BorrowRequest) -> Reply {
         self.tick(now);
         let lease = if self.is_autonomous {
@@ -158,8 +161,7 @@
         }
     }
 
-    /// Remembers what a router is short of, unless the owner has just refused
-    /// as much.
+    /// Records a router's need, unless the owner has just refused as much.
     fn record_need(
         &mut self,
         now: Time,
@@ -188,7 +190,7 @@
         reply.need = NeedStatus::Pending;
     }
 
-    /// Adds up what the routers are short of.
+    /// Updates the total need of the routers.
     fn sum_needs(&mut self, now: Time) {
         self.needs.retain(|_, n| now < n.at + NEED_LIFETIME);
         let need = self.needs.values().map(|n| n.need).sum();
@@ -200,12 +202,12 @@
         self.head_need = head_need;
     }
 
-    /// Has the owner asked at once.
+    /// Makes a request to the owner due at once.
     pub fn mark_due(&mut self) {
         self.is_due = true;
     }
 
-    /// Reports whether the owner should be asked now.
+    /// Returns whether a request to the owner is due.
     pub fn is_due(&self, now: Time) -> bool {
         let pause = if self.need > 0 {
             NEED_INTERVAL
@@ -215,7 +217,7 @@
         self.is_due || self.last_request.is_none_or(|a| now >= a + pause)
     }
 
-    /// Returns the message to the owner.
+    /// Returns the next request to the owner.
     pub fn borrow_request(&mut self, now: Time) -> BorrowRequest {
         self.tick(now);
         self.is_due = false;
@@ -232,7 +234,7 @@
         request
     }
 
-    /// Takes in the owner's reply.
+    /// Processes a reply from the owner.
     pub fn handle_reply(&mut self, now: Time, reply: &Reply) {
         self.tick(now);
         match self.borrower.handle_reply(now, reply) {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Stops to accrue and hands the owner the balance.
+    /// Stops accruing and reports the balance to the owner in a new session.
     fn rejoin(&mut self, now: Time) {
         if self.is_autonomous {
             self.lender.stop_accruing(now);
@@ -277,7 +279,7 @@
                 });
                 self.clear_need();
             }
-            // Other routers may have taken what was granted.
+            // Other routers may have borrowed the granted credit.
             _ if missing > 0 => {
                 self.need_since = None;
                 self.is_due = true;
@@ -294,7 +296,7 @@
         self.need_since = None;
     }
 
-    /// Returns to the owner what no router needs.
+    /// Returns idle credit to the owner.
     fn return_idle(&mut self) {
         if self.need > 0 {
             return;
@@ -304,7 +306,8 @@
         self.is_due |= idle > 0;
     }
 
-    /// Lets time pass: the data centre may lapse or be cut off.
+    /// Advances the time: handles expired leases and a lost connection to the
+    /// owner.
     pub fn tick(&mut self, now: Time) {
         self.lender.advance(now);
         if self.is_autonomous {
@@ -321,7 +324,7 @@
         }
     }
 
-    /// Accounts for credit that a silent router held.
+    /// Accounts for credit that was lent to routers whose lease has expired.
     fn account_for_lost(&mut self, tokens: u64) {
         if tokens == 0 {
             return;
@@ -335,7 +338,7 @@
         }
     }
 
-    /// Trims what is held to the share, because every lease has run out.
+    /// Reduces the balance to the share after every lease has expired.
     fn trim_to_share(&mut self) {
         let share = self.borrower.share.of(self.limits.burst);
         let balance = self.lender.balance();
@@ -350,7 +353,7 @@
         self.borrower.return_credit(balance - kept);
     }
 
-    /// Starts to accrue by itself.
+    /// Starts to accrue the data centre's share autonomously.
     fn become_autonomous(&mut self, now: Time) {
         self.borrower.disconnect();
         self.is_autonomous = true;
--- a/crates/sequoiawing_budget/src/centre_slots.rs
+++ b/crates/sequoiawing_budget/src/centre_slots.rs
@@ -6,19 +6,20 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The parts of a lease after which the owner hears from the data centre.
+/// How many requests are sent to the owner within one lease duration.
 const HEARTBEATS_PER_LEASE: u32 = 4;
 
-/// The parts of a lease after which an unmet need is told again.
+/// How many times an unmet need is reported within one lease duration.
 const RETRIES_PER_LEASE: u32 = 20;
 
 /// A data centre's slots of one budget, held by the leader of its cell for
 /// work that runs at upstreams.
 ///
-/// The work goes on when the leader is lost. So a successor first finds out
-/// what runs in the whole data centre, and then vouches for it; what nobody
-/// vouches for counts at the owner for the longest holding after its lease.
-/// See [docs/design/budgets.md](../../../docs/design/budgets.md).
+/// The work continues when the leader is lost. A successor therefore first
+/// determines what runs in the whole data centre and then confirms it to the
+/// owner. The owner reserves unconfirmed slots until their lease and the
+/// maximum overrun have passed. See
+/// [docs/design/budgets.md](../../../docs/design/budgets.md).
 #[derive(Clone, Debug, Serialize)]
 pub struct CentreSlots {
     limits: Limits,
@@ -36,16 +37,19 @@
     need_since: Option<Time>,
     #[serde(rename = "asked")]
     last_request: Option<Time>,
-    /// Until when others need what is held beyond the share.
+    /// Until when the data centre is limited to its share, because others need
+    /// the rest.
     #[serde(rename = "squeezed")]
     limited_until: Time,
     is_due: bool,
 }
 
 impl CentreSlots {
-    /// Returns the part of a leader that has just won its cell's `term`.
+    /// Returns the slots of a leader that was just elected for its cell's
+    /// `term`.
     ///
-    /// `share` is the last cut-off share that the data centre was given.
+    /// `share` is the last known share that the data centre may use when it is
+    /// disconnected.
     pub fn new(now: Time, term: u64, limits: Limits, timing: Timing, share: Share) -> Self {
         let mut borrower = Borrower::new(now, term, timing);
         borrower.share = share;
@@ -66,36 +70,37 @@
         }
     }
 
-    /// Puts other limits in force.
+    /// Applies new limits.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Sets how long what was begun with a slot may go on after the lease.
+    /// Sets how long work that holds a slot may continue after the lease has
+    /// expired.
     pub fn set_overrun(&mut self, overrun: Duration) {
         self.timing.overrun = overrun;
     }
 
-    /// Returns the limits in force.
+    /// Returns the current limits.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Returns the share that the data centre may use when it is cut off.
+    /// Returns the share that the data centre may use when it is disconnected.
     pub fn share(&self) -> Share {
         self.borrower.share
     }
 
-    /// Reports whether the data centre uses its own share.
+    /// Returns whether the data centre uses its own share.
     pub fn is_autonomous(&self) -> bool {
         self.is_autonomous
     }
 
-    /// Sets how many slots are in use in the whole data centre, and how many
-    /// could be.
+    /// Sets how many slots are used in the whole data centre, and how many it
+    /// wants to use.
     ///
-    /// The first call vouches for the data centre: it must come only when all
-    /// that a predecessor began is known.
+    /// The first call confirms the slots in use. The caller must make it only
+    /// after it knows all the work that a predecessor started.
     pub fn set_use(&mut self, now: Time, used: u64, want: u64) {
         if !self.is_confirmed {
             self.is_confirmed = true;
@@ -109,7 +114,7 @@
         self.tick(now);
     }
 
-    /// Returns how many slots may be in use.
+    /// Returns the maximum number of slots that may be in use.
     pub fn limit(&self, now: Time) -> u64 {
         if !self.is_confirmed {
             return 0;
@@ -118,7 +123,7 @@
             return self.held;
         }
         let share = self.share_slots();
-        // The owner sets the share aside whether or not it hears from here.
+        // The owner reserves the share even when it receives no requests.
         if self.is_autonomous {
             share
         } else {
@@ -130,12 +135,12 @@
         self.borrower.share.of(self.limits.burst)
     }
 
-    /// Has the owner asked at once.
+    /// Makes a request to the owner due at once.
     pub fn mark_due(&mut self) {
         self.is_due = true;
     }
 
-    /// Reports whether the owner should be asked now.
+    /// Returns whether a request to the owner is due.
     pub fn is_due(&self, now: Time) -> bool {
         let parts = if self.need(now) > 0 {
             RETRIES_PER_LEASE
@@ -156,7 +161,7 @@
         self.want.min(most).saturating_sub(self.held)
     }
 
-    /// Returns the message to the owner.
+    /// Returns the next request to the owner.
     pub fn borrow_request(&mut self, now: Time) -> BorrowRequest {
         self.tick(now);
         self.is_due = false;
@@ -173,7 +178,7 @@
         request
     }
 
-    /// Takes in the owner's reply.
+    /// Processes a reply from the owner.
     pub fn handle_reply(&mut self, now: Time, reply: &Reply) {
         self.tick(now);
         match self.borrower.handle_reply(now, reply) {
@@ -183,7 +188,7 @@
         }
     }
 
-    /// Tells the owner what the data centre holds.
+    /// Starts a new session with the slots that the data centre holds.
     fn rejoin(&mut self, now: Time) {
         self.held = self.limit(now).max(self.used);
         self.is_autonomous = false;
@@ -204,7 +209,8 @@
         self.tick(now);
     }
 
-    /// Answers a router, which has to know the share in case it leads next.
+    /// Returns the reply to a router, which has to know the share in case it
+    /// becomes the next leader.
     pub fn router_reply(&self, now: Time, term: u64, request: &BorrowRequest) -> Reply {
         Reply {
             lender_term: term,
@@ -219,8 +225,8 @@
         }
     }
 
-    /// Lets time pass: what is not needed goes back, and the data centre may be
-    /// cut off.
+    /// Advances the time: returns idle slots and handles a lost connection to
+    /// the owner.
     pub fn tick(&mut self, now: Time) {
         if !self.is_autonomous && self.is_disconnected(now) {
             self.borrower.disconnect();
@@ -239,8 +245,9 @@
         }
     }
 
-    /// Reports whether the others have ended what they began with this data
-    /// centre's share.
+    /// Returns whether the connection to the owner has been lost for so long
+    /// that other data centres have ended all work on slots of this one's
+    /// share.
     fn is_disconnected(&self, now: Time) -> bool {
         let ended = self.borrower.last_reply + self.timing.lease * 2 + self.timing.max_overrun();
         self.is_confirmed && self.borrower.has_expired(now) && now >= ended
--- a/crates/sequoiawing_budget/src/journal.rs
+++ b/crates/sequoiawing_budget/src/journal.rs
@@ -2,18 +2,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What a borrower did with credit.
+/// A use of credit by a borrower.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryKind {
     /// Tokens were charged to requests.
     Spent {
-        /// The tokens.
+        /// The charged tokens.
         tokens: u64,
-        /// The lender's tag known at that time.
+        /// The lender's tag when the tokens were charged.
         tag: Tag,
     },
-    /// Requests have ended that did not use all they were charged.
+    /// Requests ended without using everything that they were charged.
     Refunded {
         /// The tokens that were charged.
         charged: u64,
@@ -24,16 +24,17 @@
     },
 }
 
-/// One entry of a journal of changes.
+/// An entry of a borrower's journal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
-    /// The position, from one; a lender applies each once and in order.
+    /// The position, starting at one. A lender applies each entry once, in
+    /// order.
     pub id: u64,
-    /// What was done.
+    /// What the borrower did.
     pub kind: EntryKind,
 }
 
-/// What a borrower has to tell its lender, resent until it is applied.
+/// The entries that a borrower resends until its lender has applied them.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Journal {
     entries: VecDeque<Entry>,
@@ -44,10 +45,10 @@
 }
 
 impl Journal {
-    /// Adds an entry, joined with a like one that was never sent.
+    /// Adds an entry, or merges it into a similar entry that was never sent.
     ///
-    /// What is spent may be told earlier than it was, but no refund before the
-    /// spending that it belongs to.
+    /// Spending may move ahead of a refund, but a refund must not move ahead of
+    /// the spending that it belongs to.
     pub(crate) fn push(&mut self, kind: EntryKind) {
         let is_spent = matches!(kind, EntryKind::Spent { .. });
         let reach = if is_spent { 2 } else { 1 };
@@ -63,13 +64,14 @@
         self.entries.push_back(Entry { id, kind });
     }
 
-    /// Returns all entries that are not known to be applied.
+    /// Returns all entries that the lender has not acknowledged. Entries that
+    /// were returned are no longer merged.
     pub(crate) fn send(&mut self) -> Vec<Entry> {
         self.last_sent = self.last_id;
         self.entries.iter().copied().collect()
     }
 
-    /// Forgets what the lender has applied.
+    /// Removes the entries up to `id`, which the lender has applied.
     pub(crate) fn acknowledge(&mut self, id: u64) {
         while self.entries.front().is_some_and(|e| e.id <= id) {
             self.entries.pop_front();
--- a/crates/sequoiawing_budget/src/lender/account.rs
+++ b/crates/sequoiawing_budget/src/lender/account.rs
@@ -3,13 +3,13 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// What a lender knows of a borrower's connection.
+/// The state of a borrower's connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum State {
-    /// The borrower's session counts.
+    /// The borrower's session is active.
     Joined,
-    /// The borrower was invited to a new session and cannot accrue by itself
+    /// The borrower was invited to a new session and cannot accrue autonomously
     /// yet.
     Joining,
     /// The borrower may accrue its own share.
@@ -17,23 +17,23 @@
     Disconnected,
 }
 
-/// Credit of a holder that was replaced, until its lease has run out.
+/// The credit of a replaced holder, which counts until its lease expires.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct ReplacedLease {
     tokens: u64,
     until: Time,
 }
 
-/// What a lender lent to one borrower.
+/// A lender's account of one borrower.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Account {
     pub(super) state: State,
     /// Whether a former lender may have lent to the borrower.
     pub(super) is_unknown: bool,
-    /// Whether the borrower accrued by itself under a former lender.
+    /// Whether the borrower accrued autonomously under a former lender.
     #[serde(rename = "was_alone")]
     pub(super) was_autonomous: bool,
-    /// The share that the borrower accrues when it is cut off.
+    /// The share that the borrower accrues when it is disconnected.
     pub(super) share: Share,
     /// The share that the current invitation offers.
     pub(super) offered: Share,
@@ -46,16 +46,16 @@
     pub(super) granted: u64,
     pub(super) returned: u64,
     pub(super) applied: u64,
-    /// The newest stamp that the borrower is known to have heard.
+    /// The newest stamp that the borrower has acknowledged.
     #[serde(rename = "heard")]
     pub(super) acked_stamp: Time,
-    /// When the borrower's lease has surely run out.
+    /// When the borrower's lease has expired on every clock.
     #[serde(rename = "until")]
     pub(super) lease_end: Time,
-    /// When the last ask that was answered with a grant was sent.
+    /// When the last processed request was sent, on the borrower's clock.
     #[serde(rename = "asked")]
     pub(super) last_sent: Time,
-    /// The last need that was met, on the borrower's clock.
+    /// The `need_since` of the last need that was met.
     #[serde(rename = "met")]
     pub(super) last_met: Time,
     pub(super) recall: bool,
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Reports whether the borrower was never heard of, so that it cannot know
-    /// of any share.
+    /// Returns whether the borrower has never sent a request, so that it cannot
+    /// know of any share.
     pub(super) fn is_new(&self) -> bool {
         self.session == 0 && self.share == Share::NONE
     }
 
-    /// Returns the share that must be set aside for the borrower.
+    /// Returns the share that must be reserved for the borrower.
     pub(super) fn held_share(&self) -> Share {
         self.share.max(self.offered)
     }
@@ -105,7 +105,8 @@
     pub(super) fn reserved(&self, burst: u64) -> u64 {
         let share = self.held_share().of(burst);
         match self.state {
-            // A successor accrues by itself only after its predecessor's lease.
+            // A successor accrues only after its predecessor's lease has
+            // expired.
             State::Disconnected => self.lent.saturating_add(self.replaced_credit()).max(share),
             _ if self.was_autonomous => self.lent.max(share).saturating_add(self.replaced_credit()),
             _ => self.lent.saturating_add(self.replaced_credit()),
@@ -117,14 +118,14 @@
         self.replaced.iter().map(|l| l.tokens).sum()
     }
 
-    /// Notes that a reply with this stamp tells the borrower to return credit.
+    /// Records that a reply with this stamp asks the borrower to return credit.
     pub(super) fn note_recall_sent(&mut self, stamp: Time) {
         if self.recall {
             self.recall_stamp.get_or_insert(stamp);
         }
     }
 
-    /// Ends the recall when the borrower has heard of it.
+    /// Ends the recall if the borrower has received it by this stamp.
     pub(super) fn acknowledge_recall(&mut self, stamp: Time) {
         if self.recall_stamp.is_some_and(|t| t <= stamp) {
             self.recall = false;
@@ -138,13 +139,13 @@
         self.invitation += 1;
     }
 
-    /// Reports whether another holder speaks for the borrower now.
+    /// Returns whether the request comes from a later holder.
     pub(super) fn is_replaced(&self, request: &BorrowRequest) -> bool {
         self.session >> HOLDER_SHIFT < request.session >> HOLDER_SHIFT
     }
 
-    /// Puts a new holder in the place of the last one, whose credit counts
-    /// until its lease has run out.
+    /// Replaces the holder. The credit of the previous one counts until its
+    /// lease expires.
     pub(super) fn replace(
         &mut self,
         now: Time,
@@ -170,7 +171,7 @@
         self.invite(state);
     }
 
-    /// Starts the session that the borrower opened with what it kept, and
+    /// Starts the borrower's new session with the credit that it kept, and
     /// returns the credit that it did not keep.
     pub(super) fn start(&mut self, request: &BorrowRequest, kept: u64, until: Time) -> u64 {
         let dropped = self.lent.saturating_sub(kept);
@@ -190,20 +191,20 @@
         dropped
     }
 
-    /// Forgets what predecessors may hold, because a holder vouches for them.
+    /// Removes the credit of replaced holders, which the current holder now
+    /// accounts for.
     pub(super) fn forget_replaced(&mut self) {
         self.replaced.clear();
     }
 
-    /// Counts credit until a lease has run out.
+    /// Counts credit as held until its lease expires.
     pub(super) fn retain_lease(&mut self, tokens: u64, until: Time) {
         if tokens > 0 {
             self.replaced.push(ReplacedLease { tokens, until });
         }
     }
 
-    /// Forgets leases that have run out and returns the credit that was lent
-    /// under them.
+    /// Removes expired leases and returns the credit that was lent under them.
     pub(super) fn expire(&mut self, now: Time, overrun: Duration) -> u64 {
         let mut lost = 0;
         self.replaced.retain(|l| {
@@ -218,7 +219,8 @@
         lost
     }
 
-    /// Takes all credit away, because no lease can still be running.
+    /// Removes all credit after every lease has expired, and returns its
+    /// amount.
     pub(super) fn write_off(&mut self) -> u64 {
         self.invite(State::Disconnected);
         let lost = self.lent + self.replaced_credit();
--- a/crates/sequoiawing_budget/src/lender/mod.rs
+++ b/crates/sequoiawing_budget/src/lender/mod.rs
@@ -1,4 +1,5 @@
-//! The owner's side of a budget, and a cell leader's towards its routers.
+//! The lender's side of a budget: the owner towards the data centres, and a
+//! cell leader towards its routers.
 
 mod account;
 mod borrowed;
@@ -21,22 +22,23 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Source {
-    /// It accrues here, at this share of the rate and into this share of the
-    /// burst.
+    /// It accrues in the lender, at this share of the rate and up to this share
+    /// of the burst.
     Accrued(Share),
     /// It is borrowed from another lender.
     Borrowed,
 }
 
-/// What became of a borrower's message.
+/// The result of a borrower's request.
 #[derive(Debug)]
 pub(crate) struct Handled {
     pub(crate) reply: Reply,
-    /// What was done with borrowed credit, for the lender that it came from.
+    /// Uses of borrowed credit, to be forwarded to the lender that it came
+    /// from.
     pub(crate) entries: Vec<EntryKind>,
 }
 
-/// Lends credit of one total under leases and never more than the total.
+/// Lends the credit of one total under leases, never more than the total.
 #[derive(Clone, Debug, Serialize)]
 pub struct Lender {
     term: u64,
@@ -47,11 +49,12 @@
     accounts: BTreeMap<Name, Account>,
     #[serde(rename = "marks")]
     watermarks: Option<Watermarks>,
-    /// When every lease of a former lender has run out.
+    /// When every lease granted by a former lender has expired.
     #[serde(rename = "settled")]
     settling_until: Time,
     is_settling: bool,
-    /// Whether a holder unknown to the borrowers that answer may have credit.
+    /// Whether credit may be held by a holder that none of the connected
+    /// borrowers knows of.
     must_wait: bool,
     stamp: Time,
     #[serde(rename = "short")]
@@ -59,14 +62,16 @@
     unmet: u64,
     #[serde(rename = "raised")]
     floor_raised: Time,
-    /// Borrowed credit whose lease ran out with its borrower's silence.
+    /// Borrowed credit whose lease expired because its borrower did not renew
+    /// it.
     lost: u64,
 }
 
 impl Lender {
-    /// Returns the owner of a total, which starts where `mark` lets it.
+    /// Returns the owner of a total, which starts with the floor of the last
+    /// committed watermark.
     ///
-    /// Without a mark nobody has ever borrowed, and the bucket is full.
+    /// Without a watermark nobody has borrowed yet, so the bucket is full.
     pub fn owner(
         now: Time,
         term: u64,
@@ -92,7 +97,7 @@
         lender
     }
 
-    /// Returns a cell leader's lender, which has nothing yet.
+    /// Returns a cell leader's lender, without credit.
     pub(crate) fn for_cell(now: Time, term: u64, limits: Limits, timing: Timing) -> Self {
         let mut lender = Self::new(now, term, limits, timing, Source::Borrowed);
         lender.must_wait = true;
@@ -119,26 +124,28 @@
         }
     }
 
-    /// Puts other limits in force.
+    /// Applies new limits.
     pub fn set_limits(&mut self, now: Time, limits: Limits) {
         self.advance(now);
         self.limits = limits;
     }
 
-    /// Sets how long what was begun with a slot may go on after the lease.
+    /// Sets how long work that holds a slot may continue after the lease has
+    /// expired.
     pub fn set_overrun(&mut self, overrun: Duration) {
         self.timing.overrun = overrun;
     }
 
-    /// Returns the limits in force.
+    /// Returns the current limits.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Sets the share that each data centre should have when it is cut off.
+    /// Sets the share that each data centre may use when it is disconnected.
     ///
-    /// A share is lowered by a new session of that data centre, and raised
-    /// only after others were lowered. Together they must be at most one.
+    /// Lowering a share requires a new session with that data centre. A share
+    /// is raised only after others were lowered. The shares must sum up to at
+    /// most one.
     pub fn set_shares<I>(&mut self, now: Time, shares: I)
     where
         I: IntoIterator<Item = (Name, Share)>,
@@ -150,31 +157,32 @@
         }
     }
 
-    /// Takes in a data centre's message and answers it.
+    /// Processes a data centre's request and returns the reply.
     pub fn handle(&mut self, now: Time, from: &Name, request: &BorrowRequest) -> Reply {
         self.handle_request(now, from, request, self.timing.lease)
             .reply
     }
 
-    /// Lets time pass and moves shares.
+    /// Advances the time and moves shares between data centres.
     pub fn tick(&mut self, now: Time) {
         self.advance(now);
         self.move_shares(now);
     }
 
-    /// Returns the data centres that were told to return credit and have not
-    /// asked since.
+    /// Returns the data centres from which credit is recalled and that have not
+    /// acknowledged the recall yet.
     pub fn recalled(&self) -> impl Iterator<Item = &Name> {
         let recalled = self.accounts.iter().filter(|(_, a)| a.recall);
         recalled.map(|(name, _)| name)
     }
 
-    /// Returns the credit that nobody holds.
+    /// Returns the credit that is not lent to anyone.
     pub fn balance(&self) -> u64 {
         self.bucket.balance()
     }
 
-    /// Lets time pass: leases run out, shares part, credit accrues.
+    /// Advances the time: expires leases, disconnects borrowers that did not
+    /// renew them, and accrues credit.
     pub(crate) fn advance(&mut self, now: Time) {
         let min_lease = self.timing.min_lease();
         let overrun = self.timing.max_overrun();
@@ -206,7 +214,8 @@
             .fill(now, &self.limits, share.saturating_sub(apart), cap);
     }
 
-    /// Ends the time in which a former lender's credit may be unknown.
+    /// Ends the settling period if all credit that a former lender lent is
+    /// known or has expired.
     fn end_settling(&mut self, now: Time) {
         let is_over = now >= self.settling_until;
         let is_known = !self.accounts.values().any(|a| a.is_unknown);
@@ -223,7 +232,8 @@
         }
     }
 
-    /// Returns the most that nobody may hold.
+    /// Returns the maximum balance: the share of the burst that is not reserved
+    /// for borrowers.
     fn cap(&self, share: Share) -> u64 {
         let burst = self.limits.burst;
         let reserved = self.accounts.values().map(|a| a.reserved(burst));
--- a/crates/sequoiawing_budget/src/lender/proposals.rs
+++ b/crates/sequoiawing_budget/src/lender/proposals.rs
@@ -2,17 +2,19 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The part of the burst that one watermark allows to lend.
+/// The divisor of the burst that yields the credit covered by one watermark.
 const WATERMARK_DIVISOR: u64 = 4;
 
-/// How often a watermark is raised at most.
+/// The minimum interval between two raises of the floor.
 const RAISE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an owner commits before it relies on it: floors and shares.
+/// Floors and shares, which an owner commits to the log before it relies on
+/// them.
 impl Lender {
     /// Returns a watermark that has to be committed now, if any.
     ///
-    /// It is answered by [`Self::commit`] or [`Self::give_up`].
+    /// The caller reports the outcome with [`Self::commit`] or
+    /// [`Self::abandon_proposal`].
     pub fn propose(&mut self, now: Time) -> Option<Watermark> {
         self.tick(now);
         let floor = self.next_floor(now);
@@ -36,7 +38,7 @@
         Some(watermark)
     }
 
-    /// Notes that a watermark is committed.
+    /// Records that a watermark is committed.
     pub fn commit(&mut self, now: Time, watermark: &Watermark) {
         self.floor_raised = now;
         if let Some(watermarks) = &mut self.watermarks {
@@ -45,14 +47,14 @@
         self.tick(now);
     }
 
-    /// Notes that whether the watermark was committed is not known.
+    /// Records that it is unknown whether the proposed watermark was committed.
     pub fn abandon_proposal(&mut self) {
         if let Some(watermarks) = &mut self.watermarks {
             watermarks.abandon_proposal();
         }
     }
 
-    /// Invites data centres whose share has to change.
+    /// Invites data centres whose share has to change to a new session.
     pub(super) fn move_shares(&mut self, now: Time) {
         let all = self.accounts.values();
         let held = all.fold(Share::NONE, |s, a| s.saturating_add(a.held_share()));
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Returns the shares that the log has to set aside.
+    /// Returns the shares that have to be reserved in the log.
     fn next_shares(&self) -> BTreeMap<Name, Share> {
         let watermarks = self.watermarks.as_ref();
         let logged = |n: &Name| watermarks.map_or(Share::NONE, |m| m.share(n));
@@ -101,7 +103,8 @@
         next.collect()
     }
 
-    /// Returns the floor that has to be committed, if another than now.
+    /// Returns the floor that has to be committed, if it differs from the
+    /// committed one.
     fn next_floor(&mut self, now: Time) -> Option<u64> {
         if self.limits.refill == Refill::OnReturn || self.is_settling {
             return None;
--- a/crates/sequoiawing_budget/src/lender/requests.rs
+++ b/crates/sequoiawing_budget/src/lender/requests.rs
@@ -3,18 +3,19 @@
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
-/// How long after a shortage credit is lent for actual need only.
+/// How long after a shortage credit is lent only for actual needs.
 const SHORTAGE_PERIOD: Duration = Duration::from_millis(200);
 
-/// The part of the balance that is lent beyond actual need at most.
+/// The divisor of the balance that yields the most that is lent beyond a need.
 const CHUNK_DIVISOR: u64 = 8;
 
-/// What a borrower waits before asking again while others return credit.
+/// How long a borrower waits before it retries while others return credit.
 const PENDING_RETRY: Duration = Duration::from_millis(2);
 
-/// The messages of borrowers.
+/// Processes the requests of borrowers.
 impl Lender {
-    /// Takes in a borrower's message whose credit may be used for `lease`.
+    /// Processes a borrower's request and grants credit for the duration of
+    /// `lease`.
     pub(crate) fn handle_request(
         &mut self,
         now: Time,
@@ -48,7 +49,7 @@
         if is_current {
             self.apply_entries(from, request, &mut entries);
             renewed = !self.exceeds_share(from);
-            let account = self.accounts.get_mut(from).expect("it was served");
+            let account = self.accounts.get_mut(from).expect("the account exists");
             if renewed {
                 account.lease_end = account.lease_end.max(now + max_lease);
                 need = self.grant(now, from, request, lease);
@@ -56,14 +57,14 @@
                 account.recall = true;
             }
         }
-        // A cell leader that waits for its predecessor's leases has nothing to
-        // lend yet.
+        // A cell leader has nothing to lend until its predecessor's leases have
+        // expired.
         let has_credit = renewed && (self.watermarks.is_some() || !self.is_settling);
         let lease = if has_credit { lease } else { Duration::ZERO };
         let mut reply = self.reply(now, from, request, lease, need);
         reply.joined = is_current;
-        // Such a need is met when those leases have run out, which takes longer
-        // than requests wait for a lender that has answered.
+        // Such a need is met only after the leases of replaced holders have
+        // expired, which takes longer than requests wait for a ready lender.
         let missing = request.head_need.max(1);
         reply.ready &=
             need != NeedStatus::Pending || request.need == 0 || !self.may_be_held(missing);
@@ -74,7 +75,7 @@
     fn join(&mut self, now: Time, from: &Name, request: &BorrowRequest) {
         let until = now + self.timing.max_lease();
         let is_logged = self.watermarks.as_ref().is_none_or(|m| m.has_centre(from));
-        let account = self.accounts.get_mut(from).expect("the caller made it");
+        let account = self.accounts.get_mut(from).expect("the account exists");
         if now >= request.stamp + self.timing.min_lease() {
             account.invite(State::Disconnected);
             return;
@@ -89,8 +90,8 @@
             }
             return;
         }
-        // A router keeps nothing over a new session, except what it may not
-        // drop: slots in flight, which come back when their lease has run out.
+        // A router keeps no credit across sessions. Only slots in flight cannot
+        // be dropped; they become free when their lease expires.
         let ends = account.lease_end;
         let dropped = account.start(request, 0, until);
         match self.limits.refill {
@@ -99,14 +100,14 @@
         }
     }
 
-    /// Takes in what the borrower spent and returned.
+    /// Applies the credit that the borrower spent, refunded and returned.
     fn apply_entries(
         &mut self,
         from: &Name,
         request: &BorrowRequest,
         entries: &mut Vec<EntryKind>,
     ) {
-        let account = self.accounts.get_mut(from).expect("the caller made it");
+        let account = self.accounts.get_mut(from).expect("the account exists");
         account.acked_stamp = account.acked_stamp.max(request.stamp);
         account.acknowledge_recall(request.stamp);
         for entry in &request.entries {
@@ -129,8 +130,9 @@
         self.bucket.put(back);
     }
 
-    /// Reports whether a data centre holds more than its share while the shares
-    /// of those that are cut off need it; its lease is then not renewed.
+    /// Returns whether a data centre holds more than its share while the excess
+    /// is reserved for the shares of disconnected ones. Its lease is then not
+    /// renewed.
     fn exceeds_share(&self, from: &Name) -> bool {
         let burst = self.limits.burst;
         let account = &self.accounts[from];
@@ -141,7 +143,8 @@
         reserved.fold(0, u64::saturating_add) > burst
     }
 
-    /// Lends what the borrower needs and, when there is enough, some ahead.
+    /// Lends the credit that the borrower needs, and more in advance if there
+    /// is no shortage.
     fn grant(
         &mut self,
         now: Time,
@@ -150,7 +153,7 @@
         lease: Duration,
     ) -> NeedStatus {
         let free = self.lendable();
-        let account = self.accounts.get_mut(from).expect("the caller made it");
+        let account = self.accounts.get_mut(from).expect("the account exists");
         let is_met = request.need == 0 || account.last_met == request.need_since;
         if request.sent < account.last_sent {
             return if is_met {
@@ -193,7 +196,7 @@
         NeedStatus::Met
     }
 
-    /// Notes a shortage and tells all others to return what they hold.
+    /// Records a shortage and recalls credit from all other borrowers.
     fn record_shortage(&mut self, now: Time, except: &Name, missing: u64) -> NeedStatus {
         self.last_shortage = Some(now);
         self.unmet = self.unmet.max(missing);
@@ -205,15 +208,16 @@
         }
     }
 
-    /// Reports whether as much may still be held under the leases of holders
-    /// that were replaced: it is not known to be spent.
+    /// Returns whether replaced holders may still hold at least `missing`
+    /// tokens, which may come back unspent when their leases expire.
     fn may_be_held(&self, missing: u64) -> bool {
         let replaced = self.accounts.values().map(Account::replaced_credit);
         let replaced = replaced.fold(0, u64::saturating_add);
         self.limits.refill != Refill::OnReturn && replaced >= missing
     }
 
-    /// Tells all others to return what they hold; returns whether any does.
+    /// Recalls credit from all other borrowers and returns whether any of them
+    /// holds some.
     fn recall(&mut self, except: &Name) -> bool {
         let mut any = false;
         for (name, account) in &mut self.accounts {
@@ -237,7 +241,7 @@
         self.stamp = now.max(self.stamp + Duration::from_micros(1));
         let retry = self.retry(request.head_need, need);
         let durable = !self.is_settling && self.floor() <= self.bucket.balance();
-        let account = self.accounts.get_mut(from).expect("the caller made it");
+        let account = self.accounts.get_mut(from).expect("the account exists");
         account.note_recall_sent(self.stamp);
         Reply {
             durable,
@@ -276,7 +280,7 @@
         Duration::from_micros(missing.saturating_mul(1_000_000) / rate.max(1))
     }
 
-    /// Returns what may be lent now.
+    /// Returns the credit that may be lent now.
     fn lendable(&self) -> u64 {
         self.bucket.balance().saturating_sub(self.floor())
     }
--- a/crates/sequoiawing_budget/src/lender/view.rs
+++ b/crates/sequoiawing_budget/src/lender/view.rs
@@ -4,37 +4,39 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A budget as its owner knows it, for operators.
+/// The state of a budget at its owner, for operators.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct LenderView {
-    /// The total.
+    /// The limits of the total.
     pub limits: Limits,
-    /// The credit that nobody holds.
+    /// The credit that is not lent to anyone.
     pub balance: u64,
-    /// Whether the owner lends; it does not while it waits for former leases.
+    /// Whether the owner lends. It does not while it waits for leases of a
+    /// former owner to expire.
     pub lending: bool,
-    /// What the data centres hold.
+    /// The accounts of the data centres.
     pub centres: Vec<AccountView>,
 }
 
-/// What a data centre holds of a budget.
+/// A data centre's part of a budget.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct AccountView {
-    /// The data centre.
+    /// The name of the data centre.
     pub centre: Name,
-    /// Whether the owner hears from it; if not, it may use its cut-off share.
+    /// Whether the data centre has an active session; if not, it may use its
+    /// share.
     pub connected: bool,
-    /// The credit that is lent to it and not known to be spent.
+    /// The credit that is lent to the data centre and not known to be spent.
     pub lent: u64,
-    /// The share that it may use when it is cut off.
+    /// The share that the data centre may use when it is disconnected.
     pub share: Share,
-    /// How long ago the last message that it acknowledged was sent, in
+    /// The age of the last reply that the data centre has acknowledged, in
     /// milliseconds.
     pub heard: Option<u64>,
 }
 
 impl Lender {
-    /// Returns what operators need to know.
+    /// Returns the state of the budget for operators.
     pub fn view(&self, now: Time) -> LenderView {
         let centres = self.accounts.iter().map(|(name, account)| AccountView {
             centre: name.clone(),
--- a/crates/sequoiawing_budget/src/lender/watermark.rs
+++ b/crates/sequoiawing_budget/src/lender/watermark.rs
@@ -3,25 +3,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an owner commits to the log before it relies on it, so that a
-/// successor never lends again what may have been spent.
+/// State that an owner commits to the log before it relies on it, so that a
+/// successor never lends credit again that may have been spent.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Watermark {
     /// The owner's term.
     pub term: u64,
-    /// The balance that the owner will not lend from under this watermark.
+    /// The balance below which the owner does not lend under this watermark.
     pub floor: u64,
-    /// The cut-off shares that data centres may hold; together at most one.
+    /// The shares that data centres may use when they are disconnected; their
+    /// sum is at most one.
     pub shares: BTreeMap<Name, Share>,
 }
 
-/// The watermarks of an owner.
+/// The committed and proposed watermarks of an owner.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Watermarks {
     pub(super) committed: Watermark,
     proposed: Option<Watermark>,
-    /// The highest floor among proposals that may be committed.
+    /// The highest floor of the proposals whose outcome is unknown.
     #[serde(rename = "doubt")]
     uncertain_floor: u64,
 }
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Returns the balance that a successor may start from.
+    /// Returns the highest balance that a successor may start with.
     pub(super) fn floor(&self) -> u64 {
         self.committed.floor.max(self.uncertain_floor)
     }
 
-    /// Reports whether a watermark of the term is committed.
+    /// Returns whether the committed watermark is of this term.
     pub(super) fn is_committed_in(&self, term: u64) -> bool {
         self.committed.term == term
     }
@@ -54,7 +55,7 @@
         self.proposed = Some(watermark.clone());
     }
 
-    /// Notes that a proposal is committed; all earlier ones are overwritten.
+    /// Records that a proposal is committed. It overwrites all earlier ones.
     pub(super) fn commit(&mut self, watermark: &Watermark) {
         if self.proposed.as_ref() == Some(watermark) {
             self.proposed = None;
@@ -63,17 +64,18 @@
         self.committed = watermark.clone();
     }
 
-    /// Notes that the outcome of the proposal is not known.
+    /// Records that the outcome of the proposal is unknown.
     pub(super) fn abandon_proposal(&mut self) {
         self.proposed = None;
     }
 
-    /// Reports whether a successor would know of the data centre.
+    /// Returns whether the data centre is in the log, so that a successor would
+    /// know of it.
     pub(super) fn has_centre(&self, centre: &Name) -> bool {
         self.committed.shares.contains_key(centre)
     }
 
-    /// Returns the share that the log sets aside for the data centre.
+    /// Returns the share that is reserved in the log for the data centre.
     pub(super) fn share(&self, centre: &Name) -> Share {
         let found = self.committed.shares.get(centre);
         found.copied().unwrap_or(Share::NONE)
--- a/crates/sequoiawing_budget/src/lib.rs
+++ b/crates/sequoiawing_budget/src/lib.rs
@@ -1,11 +1,12 @@
-//! Totals that must not be exceeded across hosts: customer tokens, load starts
-//! and slots in flight.
+//! Distributed quotas: limits on customer tokens, load starts and slots in
+//! flight that all hosts together must not exceed.
 //!
-//! A [`Lender`] owns a total and lends credits under leases. The controller
-//! that leads the log runs one for each budget; the cell leader of a data
-//! centre borrows from it and lends on to its routers ([`Centre`]); each router
-//! spends from a [`Purse`]. All three are pure: they are told the time and each
-//! message. See [docs/design/budgets.md](../../../docs/design/budgets.md).
+//! A [`Lender`] owns a total and lends credit under leases. The controller that
+//! leads the log runs one lender per budget. The cell leader of a data centre
+//! borrows from it and lends to its routers ([`CentreBudget`]), and each router
+//! spends from a [`RouterBudget`]. All three are state machines without I/O:
+//! the caller passes in the time and each message. See
+//! [docs/design/budgets.md](../../../docs/design/budgets.md).
 
 mod admission;
 mod borrower;
--- a/crates/sequoiawing_budget/src/limits.rs
+++ b/crates/sequoiawing_budget/src/limits.rs
@@ -1,34 +1,35 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How a budget gets back what was used.
+/// How a budget is replenished.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refill {
-    /// So many tokens accrue in a second.
+    /// Accrues this many tokens per second.
     PerSecond(u64),
-    /// Each holder gives back what it holds when it has finished; what a lost
-    /// holder held comes back when its lease has run out.
+    /// Each holder returns its slots when its work ends. The slots of a lost
+    /// holder become free when its lease expires.
     OnReturn,
 }
 
-/// The total that all hosts together must not exceed.
+/// The limits that all hosts together must not exceed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Limits {
     /// How the total is replenished.
     pub refill: Refill,
-    /// The tokens that may be used at once after a pause, or the slots.
+    /// The bucket size in tokens, or the number of slots.
     pub burst: u64,
 }
 
 impl Limits {
-    /// Returns the limits of a rate in tokens a second and a burst in tokens.
+    /// Returns the limits for a rate in tokens per second and a burst in
+    /// tokens.
     pub fn tokens(rate: u64, burst: u64) -> Self {
         let refill = Refill::PerSecond(rate);
         Self { refill, burst }
     }
 
-    /// Returns the limits of so many slots.
+    /// Returns the limits for a number of slots.
     pub fn slots(count: u64) -> Self {
         Self {
             refill: Refill::OnReturn,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns the tokens that accrue in a second; zero for slots.
+    /// Returns the tokens that accrue per second; zero for slots.
     pub fn rate(&self) -> u64 {
         match self.refill {
             Refill::PerSecond(rate) => rate,
@@ -45,17 +46,17 @@
     }
 }
 
-/// The spans that lenders and borrowers must agree on.
+/// The durations that lenders and borrowers must agree on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Timing {
-    /// How long credit may be used after it was asked for. A data centre that
-    /// has heard nothing from the owner for two leases accrues its own share.
+    /// How long credit is valid after it was requested. A data centre that has
+    /// received nothing from the owner for two leases accrues its own share.
     pub lease: Duration,
-    /// The most that two clocks may drift apart, in millionths.
+    /// The maximum drift between two clocks, in parts per million.
     pub drift: u32,
-    /// How long what was begun with a slot may go on after the lease; zero when
-    /// the holder ends it with its lease.
+    /// How long work that holds a slot may continue after the lease has
+    /// expired; zero if the holder ends it with the lease.
     #[serde(rename = "holding")]
     pub overrun: Duration,
 }
@@ -71,7 +72,7 @@
 }
 
 impl Timing {
-    /// The drift of two clocks against each other, and a reserve for rounding.
+    /// Covers the drift of both clocks and rounding.
     const DRIFT_FACTOR: u32 = 3;
 
     fn margin(&self) -> Duration {
@@ -82,18 +83,20 @@
         span * self.drift / 1_000_000 * Self::DRIFT_FACTOR
     }
 
-    /// Returns a span that has passed here only after the longest holding has
-    /// on any clock.
+    /// Returns the longest that an overrun may take on this clock, whatever the
+    /// drift.
     pub(crate) fn max_overrun(&self) -> Duration {
         self.overrun + self.drift_of(self.overrun)
     }
 
-    /// Returns a span that has passed here before a lease has on any clock.
+    /// Returns a duration on this clock after which a lease is still valid on
+    /// every other clock.
     pub(crate) fn min_lease(&self) -> Duration {
         self.lease.saturating_sub(self.margin())
     }
 
-    /// Returns a span that has passed here only after a lease has on any clock.
+    /// Returns a duration on this clock after which a lease has expired on
+    /// every other clock.
     pub(crate) fn max_lease(&self) -> Duration {
         self.lease + self.margin()
     }
--- a/crates/sequoiawing_budget/src/message.rs
+++ b/crates/sequoiawing_budget/src/message.rs
@@ -3,109 +3,111 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a borrower tells and asks its lender.
+/// A message from a borrower to its lender: reports use and requests credit.
 ///
-/// Lost, repeated and reordered messages do no harm: counters only grow within
-/// a session, and entries are numbered.
+/// Messages may be lost, duplicated or reordered: counters only grow within a
+/// session, and entries are numbered.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct BorrowRequest {
-    /// The lender's term that the borrower follows.
+    /// The term of the lender that the borrower follows.
     #[serde(rename = "lender")]
     pub lender_term: u64,
-    /// The invitation that the borrower has accepted; zero for none.
+    /// The invitation to a session that the borrower has accepted; zero for
+    /// none.
     #[serde(rename = "join")]
     pub invitation: u64,
-    /// The borrower's session; a later one replaces it.
+    /// The borrower's session. A later session replaces an earlier one.
     pub session: u64,
-    /// The newest stamp heard from this lender, on the lender's clock.
+    /// The newest stamp received from this lender, on the lender's clock.
     pub stamp: Time,
-    /// When this was sent, on the borrower's clock; echoed.
+    /// When the message was sent, on the borrower's clock; echoed in the reply.
     pub sent: Time,
-    /// The credit that the borrower held when its session started.
+    /// The credit that the borrower held at the start of the session.
     pub balance: u64,
-    /// Whether the borrower has accrued credit by itself since a lender last
+    /// Whether the borrower has accrued credit autonomously since a lender last
     /// confirmed a session.
     #[serde(rename = "alone")]
     pub autonomous: bool,
-    /// Whether the borrower took over so recently that a predecessor's lease
-    /// may still be running.
+    /// Whether the borrower took over so recently that a lease of its
+    /// predecessor may still be valid.
     #[serde(rename = "fresh")]
     pub recent_takeover: bool,
-    /// What was done with credit and is not known to be applied.
+    /// Journal entries that the lender has not yet acknowledged.
     pub entries: Vec<Entry>,
-    /// The credit returned in this session.
+    /// The total credit returned in this session.
     pub returned: u64,
-    /// When the lender was first told of this need, on the borrower's clock; a
-    /// need is met once.
+    /// When the borrower first reported this need, on its own clock. It
+    /// identifies the need, so that the lender grants it only once.
     #[serde(rename = "told")]
     pub need_since: Time,
-    /// The tokens that waiting requests are short of.
+    /// The tokens that all waiting requests together lack.
     pub need: u64,
-    /// The tokens that the first waiting request is short of.
+    /// The tokens that the first waiting request lacks.
     #[serde(rename = "head")]
     pub head_need: u64,
-    /// The credit that the borrower would like to hold beyond that.
+    /// The credit that the borrower would like to hold in addition.
     pub want: u64,
 }
 
-/// What became of a borrower's need.
+/// The status of a borrower's need.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NeedStatus {
-    /// There was none, or it was granted.
+    /// There was no need, or it was granted.
     #[default]
     Met,
-    /// It may be granted within milliseconds, because others were told to
-    /// return credit.
+    /// It may be granted within milliseconds, because other borrowers were told
+    /// to return credit.
     Pending,
-    /// It has to accrue first.
+    /// The credit has to accrue first.
     Unmet,
 }
 
-/// What a lender answers.
+/// A lender's reply to a [`BorrowRequest`].
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is a fact of its own about the session"
+    reason = "the flags are independent of each other"
 )]
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Reply {
-    /// The lender's term; a borrower follows the highest.
+    /// The lender's term. A borrower follows the lender with the highest one.
     #[serde(rename = "lender")]
     pub lender_term: u64,
-    /// The invitation that the borrower must have accepted to hold credit.
+    /// The invitation that the borrower must accept before it may hold credit.
     #[serde(rename = "join")]
     pub invitation: u64,
     /// The session that the counters below belong to.
     pub session: u64,
-    /// Whether the lender counts on that session.
+    /// Whether the lender has accepted that session.
     pub joined: bool,
-    /// Whether the lender knows what it may lend. It does not yet when it has
-    /// just taken over, so that its silence says nothing about the customer.
+    /// Whether the lender knows how much it may lend. A lender that has just
+    /// taken over does not, so a missing grant does not mean that the customer
+    /// is over its limit.
     pub ready: bool,
-    /// Whether a successor of the lender would know what the lender knows of
-    /// the time in which the borrower accrued by itself.
+    /// Whether a successor of the lender would also account for the credit that
+    /// the borrower accrued autonomously.
     #[serde(rename = "clean")]
     pub durable: bool,
-    /// The lender's clock, which never shows the same stamp twice.
+    /// The time on the lender's clock; no two replies have the same stamp.
     pub stamp: Time,
-    /// When the ask was sent, on the borrower's clock.
+    /// When the request was sent, on the borrower's clock.
     pub sent: Time,
-    /// How long after `sent` the credit may be used.
+    /// How long after `sent` the credit is valid.
     pub lease: Duration,
-    /// The credit granted in this session.
+    /// The total credit granted in this session.
     pub granted: u64,
-    /// The last entry that the lender has applied.
+    /// The ID of the last journal entry that the lender has applied.
     pub applied: u64,
-    /// What charges from now on carry.
+    /// The tag of charges from now on.
     pub tag: Tag,
-    /// The share that the borrower accrues when it is cut off.
+    /// The share that the borrower accrues when it is disconnected.
     pub share: Share,
-    /// Whether the borrower must return what it does not need.
+    /// Whether the borrower must return credit that it does not need.
     pub recall: bool,
-    /// What became of the need.
+    /// The status of the need.
     pub need: NeedStatus,
-    /// When the first waiting request may be granted.
+    /// How long until the first waiting request may be granted.
     pub retry: Duration,
 }
--- a/crates/sequoiawing_budget/src/router_budget.rs
+++ b/crates/sequoiawing_budget/src/router_budget.rs
@@ -6,48 +6,49 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// How long a refusal answers further requests.
+/// How long a refusal also applies to further requests.
 const REFUSAL_LIFETIME: Duration = Duration::from_millis(10);
 
-/// How long a lone request waits for credit to accrue instead of being refused.
+/// The longest that the only waiting request waits for credit to accrue instead
+/// of being refused.
 const MAX_ACCRUAL_WAIT: Duration = Duration::from_millis(10);
 
-/// How often the cell leader is asked while requests wait.
+/// The interval of requests to the cell leader while requests wait for credit.
 const NEED_INTERVAL: Duration = Duration::from_millis(3);
 
-/// How long spending is reported together.
+/// The interval at which spending is reported.
 const REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The window over which demand is measured.
 const DEMAND_WINDOW: Duration = Duration::from_millis(100);
 
-/// The windows of demand that a router holds credit for.
+/// The number of demand windows for which a router holds credit in advance.
 const DEMAND_WINDOWS_AHEAD: u64 = 2;
 
-/// How long credit beyond the reserve is kept when it is not used.
+/// How long unused credit beyond the reserve is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long the reserve is kept when it is not used.
+/// How long the unused reserve is kept.
 const RESERVE_LIFETIME: Duration = Duration::from_mins(1);
 
-/// The parts of a lease after which a holder renews it.
+/// How many times a holder renews its lease within one lease duration.
 const HEARTBEATS_PER_LEASE: u32 = 4;
 
-/// Credit that a request was charged.
+/// The credit that a request was charged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct Charge {
-    /// The tokens or slots.
+    /// The charged tokens or slots.
     pub tokens: u64,
     tag: Tag,
     session: u64,
 }
 
-/// Why a purse did not cover a request.
+/// Why a request could not be charged to the local credit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChargeError {
-    /// The cell leader has to be asked.
+    /// More credit has to be requested from the cell leader.
     AskLender,
-    /// The credit is used up until then.
+    /// The credit is exhausted for this duration.
     Refused(Duration),
 }
 
@@ -59,14 +60,14 @@
     retry: Duration,
 }
 
-/// Until when the charges of an earlier session are leased.
+/// An earlier session whose charges are leased until `until`.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct FormerSession {
     session: u64,
     until: Time,
 }
 
-/// The credit that one router may spend without asking.
+/// The credit that one router may spend without a round trip.
 #[derive(Clone, Debug, Serialize)]
 pub struct RouterBudget {
     timing: Timing,
@@ -81,13 +82,13 @@
     need: u64,
     #[serde(rename = "head")]
     head_need: u64,
-    /// When the cell leader was first told of the head.
+    /// When the need of the first waiting request was first reported.
     #[serde(rename = "told")]
     need_since: Option<Time>,
-    /// When a cell leader that knew what it may lend last answered.
+    /// When a cell leader that knew how much it may lend last replied.
     #[serde(rename = "answered")]
     last_answer: Time,
-    /// When a lender last told that a need has to accrue first.
+    /// When a lender last replied that credit has to accrue first.
     #[serde(rename = "unmet")]
     last_unmet: Time,
     refusal: Option<Refusal>,
@@ -103,9 +104,10 @@
 }
 
 impl RouterBudget {
-    /// Returns an empty purse.
+    /// Returns a budget without credit.
     ///
-    /// `incarnation` must be higher than that of any earlier run of the router.
+    /// `incarnation` must be higher than that of every earlier run of the
+    /// router.
     pub fn new(now: Time, incarnation: u64, refill: Refill, timing: Timing) -> Self {
         Self {
             timing,
@@ -130,45 +132,47 @@
         }
     }
 
-    /// Sets the credit that is held beyond what requests need, so that a change
-    /// of cell leaders goes unnoticed.
+    /// Sets the credit to hold beyond what requests need, so that requests are
+    /// admitted without delay while a new cell leader takes over.
     pub fn set_reserve(&mut self, reserve: u64) {
         self.reserve = reserve;
     }
 
-    /// Returns what should be held without need.
+    /// Returns the reserve that should be held now.
     fn reserve_now(&self, now: Time) -> u64 {
         let is_kept = now < self.last_used + RESERVE_LIFETIME;
         if is_kept { self.reserve } else { 0 }
     }
 
-    /// Returns when a lender last answered that knew what it may lend.
+    /// Returns when a lender that knew how much it may lend last replied.
     pub(crate) fn last_answer(&self) -> Time {
         self.last_answer
     }
 
-    /// Returns when a lender last told that a need has to accrue first.
+    /// Returns when a lender last replied that credit has to accrue first.
     pub(crate) fn last_unmet(&self) -> Time {
         self.last_unmet
     }
 
-    /// Reports whether a lender that knew what it may lend has ever answered.
+    /// Returns whether a lender that knew how much it may lend has ever
+    /// replied.
     pub fn is_served(&self) -> bool {
         self.last_answer > Time::ZERO
     }
 
-    /// Returns for how long no lender may answer before the data centre has
-    /// elected a leader and lends by itself.
+    /// Returns the longest time without a reply until the data centre has
+    /// elected a leader that lends autonomously.
     pub(crate) fn max_silence(&self) -> Duration {
         self.timing.lease * 4
     }
 
-    /// Returns the cut-off share of the data centre, as last heard.
+    /// Returns the share that the data centre accrues when it is disconnected,
+    /// as of the last reply.
     pub fn share(&self) -> Share {
         self.borrower.share
     }
 
-    /// Returns the credit that may be spent now.
+    /// Returns the credit that may be spent at `now`.
     pub fn free(&self, now: Time) -> u64 {
         if self.borrower.may_use(now) {
             self.free
@@ -177,8 +181,8 @@
         }
     }
 
-    /// Reports whether a charge is still leased; slots that are held longer may
-    /// be lent to others.
+    /// Returns whether the lease of a charge is still valid. Slots that are
+    /// held longer may be lent to others.
     pub fn is_leased(&self, now: Time, charge: &Charge) -> bool {
         if charge.session == self.borrower.session() {
             return self.borrower.may_use(now);
@@ -187,11 +191,13 @@
         former_sessions.any(|f| f.session == charge.session && now < f.until)
     }
 
-    /// Charges a request, if the purse covers it.
+    /// Charges a request to the local credit.
     ///
     /// # Errors
     ///
-    /// Tells whether the cell leader should be asked or has just refused.
+    /// Returns an error if the credit is too low: whether more has to be
+    /// requested from the cell leader, or that the cell leader has just
+    /// refused.
     pub fn charge(&mut self, now: Time, tokens: u64) -> Result<Charge, ChargeError> {
         self.tick(now);
         if tokens > self.free(now) {
@@ -222,12 +228,12 @@
         }
     }
 
-    /// Gives back what a request did not use.
+    /// Refunds the credit that a request did not use.
     pub fn settle(&mut self, now: Time, charge: Charge, used: u64) {
         self.tick(now);
         let unused = charge.tokens.saturating_sub(used);
         match self.refill {
-            // What was held in an earlier session comes back with its lease.
+            // Slots of an earlier session become free when its lease expires.
             Refill::OnReturn if charge.session != self.borrower.session() => {}
             Refill::OnReturn => {
                 self.held = self.held.saturating_sub(charge.tokens);
@@ -242,7 +248,8 @@
         }
     }
 
-    /// Sets what waiting requests need in all, and what the first one needs.
+    /// Sets the tokens that all waiting requests need, and those that the first
+    /// one needs.
     pub fn set_need(&mut self, need: u64, head_need: u64) {
         self.is_due |= need > self.need;
         if head_need != self.head_need {
@@ -252,12 +259,12 @@
         self.head_need = head_need;
     }
 
-    /// Has the cell leader asked at once.
+    /// Makes a request to the cell leader due at once.
     pub fn mark_due(&mut self) {
         self.is_due = true;
     }
 
-    /// Reports whether the cell leader should be asked now.
+    /// Returns whether a request to the cell leader is due.
     pub fn is_due(&self, now: Time) -> bool {
         let since = |span: Duration| self.last_request.is_none_or(|a| now >= a + span);
         let reports = !self.borrower.journal.is_empty() && since(REPORT_INTERVAL);
@@ -268,7 +275,7 @@
         self.is_due || reports || renews || waits
     }
 
-    /// Returns the message to the cell leader.
+    /// Returns the next request to the cell leader.
     pub fn borrow_request(&mut self, now: Time) -> BorrowRequest {
         self.tick(now);
         self.is_due = false;
@@ -287,7 +294,7 @@
         request
     }
 
-    /// Takes in the cell leader's reply.
+    /// Processes a reply from the cell leader.
     pub fn handle_reply(&mut self, now: Time, reply: &Reply) {
         self.tick(now);
         match self.borrower.handle_reply(now, reply) {
@@ -329,7 +336,8 @@
         }
         match reply.need {
             NeedStatus::Pending => {}
-            // Requests that nobody waits behind may as well wait for it.
+            // No other request is queued behind it, so a short wait delays
+            // nobody.
             NeedStatus::Unmet if reply.retry <= MAX_ACCRUAL_WAIT && self.need == self.head_need => {
             }
             NeedStatus::Unmet => {
@@ -355,8 +363,8 @@
         self.is_due = true;
     }
 
-    /// Lets time pass: demand is measured, leases run out and idle credit goes
-    /// back.
+    /// Advances the time: measures demand and returns credit that is idle or
+    /// whose lease has expired.
     pub fn tick(&mut self, now: Time) {
         if now >= self.window_start + DEMAND_WINDOW {
             let is_next = now < self.window_start + DEMAND_WINDOW * 2;
