--- a/crates/sequoiawing_budget/src/admission.rs
+++ b/crates/sequoiawing_budget/src/admission.rs
@@ -16,33 +16,35 @@
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Waiting {
+struct QueuedRequest {
     id: u64,
     tokens: u64,
     since: Time,
     /// When a lender first replied while the request was waiting.
-    answered: Option<Time>,
+    #[serde(rename = "answered")]
+    first_reply: Option<Time>,
 }
 
 /// Admits the requests of one customer on one router.
 ///
 /// Requests that exceed the local credit wait in a FIFO queue for the round
-/// trip to the cell leader and the owner, for at most `patience`. If no lender
+/// trip to the cell leader and the owner, for at most `max_wait`. If no lender
 /// replies, they wait until the data centre lends autonomously.
 #[derive(Clone, Debug, Serialize)]
 pub struct Admission {
     #[serde(rename = "purse")]
     budget: RouterBudget,
-    patience: Duration,
-    waiting: VecDeque<Waiting>,
+    #[serde(rename = "patience")]
+    max_wait: Duration,
+    waiting: VecDeque<QueuedRequest>,
 }
 
 impl Admission {
     /// Returns an admission with an empty queue.
-    pub fn new(budget: RouterBudget, patience: Duration) -> Self {
+    pub fn new(budget: RouterBudget, max_wait: Duration) -> Self {
         Self {
             budget,
-            patience,
+            max_wait,
             waiting: VecDeque::new(),
         }
     }
@@ -68,11 +70,11 @@
             }
         }
         let since = now;
-        self.waiting.push_back(Waiting {
+        self.waiting.push_back(QueuedRequest {
             id,
             tokens,
             since,
-            answered: None,
+            first_reply: None,
         });
         self.update_need();
         None
@@ -87,9 +89,9 @@
     /// Appends to `out` the queued requests that can be decided now.
     pub fn poll(&mut self, now: Time, out: &mut Vec<(u64, Decision)>) {
         let answered = self.budget.last_answer();
-        for one in &mut self.waiting {
-            if one.answered.is_none() && answered >= one.since {
-                one.answered = Some(answered);
+        for queued in &mut self.waiting {
+            if queued.first_reply.is_none() && answered >= queued.since {
+                queued.first_reply = Some(answered);
             }
         }
         while let Some(first) = self.waiting.front() {
@@ -105,22 +107,22 @@
         self.update_need();
     }
 
-    /// Returns whether a request has timed out: after `patience` if a lender
+    /// Returns whether a request has timed out: after `max_wait` if a lender
     /// has replied, otherwise when the data centre should have started to lend
     /// autonomously.
-    fn is_over(&self, now: Time, waiting: &Waiting) -> bool {
-        match waiting.answered {
-            Some(answered) => now >= answered + self.patience,
-            None => now >= waiting.since + self.patience.max(self.budget.max_silence()),
+    fn is_over(&self, now: Time, queued: &QueuedRequest) -> bool {
+        match queued.first_reply {
+            Some(answered) => now >= answered + self.max_wait,
+            None => now >= queued.since + self.max_wait.max(self.budget.max_silence()),
         }
     }
 
     /// Returns why a request that timed out was not charged.
-    fn denial(&self, waiting: &Waiting) -> Denial {
-        if self.budget.last_unmet() >= waiting.since {
-            Denial::Exhausted(self.patience)
+    fn denial(&self, queued: &QueuedRequest) -> Denial {
+        if self.budget.last_unmet() >= queued.since {
+            Denial::Exhausted(self.max_wait)
         } else {
-            Denial::Unavailable(self.patience)
+            Denial::Unavailable(self.max_wait)
         }
     }
 
--- a/crates/sequoiawing_budget/src/bucket.rs
+++ b/crates/sequoiawing_budget/src/bucket.rs
@@ -9,7 +9,8 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Tag {
-    /// The bucket that the credit came from; a new lender starts a new one.
+    /// The number of the bucket. It changes when another lender takes over and
+    /// when a data centre starts to accrue autonomously.
     #[serde(rename = "regime")]
     pub generation: u64,
     /// How many times all outstanding refunds were forfeited.
@@ -27,7 +28,7 @@
 
 /// The units of `Bucket::fraction` in one token: rates are per second, time is
 /// in microseconds and shares are in millionths.
-const FRACTION: u128 = 1_000_000_000_000;
+const UNITS_PER_TOKEN: u128 = 1_000_000_000_000;
 
 /// A token bucket: the credit that is not lent to anyone.
 #[derive(Clone, Debug, Serialize)]
@@ -82,8 +83,8 @@
         self.updated = self.updated.max(now);
         let accrued =
             u128::from(rate) * u128::from(share.millionths()) * micros + u128::from(self.fraction);
-        self.fraction = u64::try_from(accrued % FRACTION).unwrap_or(0);
-        let accrued = u64::try_from(accrued / FRACTION).unwrap_or(u64::MAX);
+        self.fraction = u64::try_from(accrued % UNITS_PER_TOKEN).unwrap_or(0);
+        let accrued = u64::try_from(accrued / UNITS_PER_TOKEN).unwrap_or(u64::MAX);
         self.balance = self.balance.saturating_add(accrued).min(cap);
         self.forfeit(cap - self.balance);
     }
--- a/crates/sequoiawing_budget/src/lender/account.rs
+++ b/crates/sequoiawing_budget/src/lender/account.rs
@@ -29,7 +29,8 @@
 pub(super) struct Account {
     pub(super) state: State,
     /// Whether a former lender may have lent to the borrower.
-    pub(super) is_unknown: bool,
+    #[serde(rename = "is_unknown")]
+    pub(super) has_unknown_credit: bool,
     /// Whether the borrower accrued autonomously under a former lender.
     #[serde(rename = "was_alone")]
     pub(super) was_autonomous: bool,
@@ -69,7 +70,7 @@
     pub(super) fn new(share: Share) -> Self {
         Self {
             state: State::Disconnected,
-            is_unknown: false,
+            has_unknown_credit: false,
             was_autonomous: false,
             share,
             offered: share,
@@ -175,8 +176,8 @@
     /// returns the credit that it did not keep.
     pub(super) fn start(&mut self, request: &BorrowRequest, kept: u64, until: Time) -> u64 {
         let dropped = self.lent.saturating_sub(kept);
-        self.was_autonomous = self.is_unknown && request.autonomous;
-        self.is_unknown = false;
+        self.was_autonomous = self.has_unknown_credit && request.autonomous;
+        self.has_unknown_credit = false;
         self.state = State::Joined;
         self.share = self.offered;
         self.session = request.session;
@@ -213,7 +214,7 @@
             is_held
         });
         let is_over = now >= self.lease_end + overrun;
-        if self.state == State::Disconnected && !self.is_unknown && is_over {
+        if self.state == State::Disconnected && !self.has_unknown_credit && is_over {
             lost += std::mem::take(&mut self.lent);
         }
         lost
--- a/crates/sequoiawing_budget/src/lender/mod.rs
+++ b/crates/sequoiawing_budget/src/lender/mod.rs
@@ -59,7 +59,8 @@
     stamp: Time,
     #[serde(rename = "short")]
     last_shortage: Option<Time>,
-    unmet: u64,
+    #[serde(rename = "unmet")]
+    unmet_need: u64,
     #[serde(rename = "raised")]
     floor_raised: Time,
     /// Borrowed credit whose lease expired because its borrower did not renew
@@ -89,7 +90,7 @@
         lender.bucket = Bucket::new(now, term << 1, watermark.floor.min(limits.burst));
         for (centre, share) in &watermark.shares {
             let mut account = Account::new(*share);
-            account.is_unknown = true;
+            account.has_unknown_credit = true;
             lender.accounts.insert(centre.clone(), account);
         }
         lender.is_settling = !is_first && !watermark.shares.is_empty();
@@ -118,7 +119,7 @@
             must_wait: false,
             stamp: now,
             last_shortage: None,
-            unmet: 0,
+            unmet_need: 0,
             floor_raised: now,
             lost: 0,
         }
@@ -218,7 +219,7 @@
     /// known or has expired.
     fn end_settling(&mut self, now: Time) {
         let is_over = now >= self.settling_until;
-        let is_known = !self.accounts.values().any(|a| a.is_unknown);
+        let is_known = !self.accounts.values().any(|a| a.has_unknown_credit);
         if !self.is_settling || !(is_over || (is_known && !self.must_wait)) {
             return;
         }
@@ -227,7 +228,7 @@
             self.bucket.trim(self.cap(share));
         }
         for account in self.accounts.values_mut() {
-            account.is_unknown = false;
+            account.has_unknown_credit = false;
             account.was_autonomous = false;
         }
     }
--- a/crates/sequoiawing_budget/src/lender/proposals.rs
+++ b/crates/sequoiawing_budget/src/lender/proposals.rs
@@ -70,7 +70,7 @@
             }
             room = room.saturating_sub(best.saturating_sub(own));
             account.offered = best;
-            let never_accrued = account.share == Share::NONE && !account.is_unknown;
+            let never_accrued = account.share == Share::NONE && !account.has_unknown_credit;
             if is_open && never_accrued {
                 account.acked_stamp = now;
             }
@@ -113,7 +113,7 @@
         let balance = self.bucket.balance();
         let chunk = (self.limits.burst / WATERMARK_DIVISOR).max(1);
         let floor = watermarks.floor();
-        let unmet = std::mem::take(&mut self.unmet);
+        let unmet = std::mem::take(&mut self.unmet_need);
         let is_low = floor > 0 && balance.saturating_sub(floor) < (chunk / 2).max(unmet);
         let is_high = balance > floor + 3 * chunk && now >= self.floor_raised + RAISE_INTERVAL;
         let next = balance.saturating_sub(chunk.max(unmet));
--- a/crates/sequoiawing_budget/src/lender/requests.rs
+++ b/crates/sequoiawing_budget/src/lender/requests.rs
@@ -30,7 +30,7 @@
         let account = self.accounts.entry(from.clone());
         let account = account.or_insert_with(|| Account::new(Share::NONE));
         if account.is_replaced(request) {
-            self.must_wait |= account.is_unknown && request.recent_takeover;
+            self.must_wait |= account.has_unknown_credit && request.recent_takeover;
             account.replace(now, &self.timing, burst, request);
         }
         let can_join = request.lender_term == self.term
@@ -199,7 +199,7 @@
     /// Records a shortage and recalls credit from all other borrowers.
     fn record_shortage(&mut self, now: Time, except: &Name, missing: u64) -> NeedStatus {
         self.last_shortage = Some(now);
-        self.unmet = self.unmet.max(missing);
+        self.unmet_need = self.unmet_need.max(missing);
         let is_unlogged = self.bucket.balance() >= missing;
         if self.recall(except) || is_unlogged || self.may_be_held(missing) {
             NeedStatus::Pending
--- a/crates/sequoiawing_budget/src/limits.rs
+++ b/crates/sequoiawing_budget/src/limits.rs
@@ -83,8 +83,8 @@
         span * self.drift / 1_000_000 * Self::DRIFT_FACTOR
     }
 
-    /// Returns the longest that an overrun may take on this clock, whatever the
-    /// drift.
+    /// Returns a duration on this clock after which the overrun has passed on
+    /// every other clock.
     pub(crate) fn max_overrun(&self) -> Duration {
         self.overrun + self.drift_of(self.overrun)
     }
