--- a/crates/sequoiawing_budget/tests/figures.rs
+++ b/crates/sequoiawing_budget/tests/figures.rs
@@ -1,14 +1,19 @@
-//! Measures, by hand, what the exchange costs and what splitting refuses:
+//! Measures the cost of the protocol, and the requests that are refused when a
+//! rate is divided among hosts. Run it with
 //! `cargo test --release -p sequoiawing_budget --test figures -- --ignored --nocapture`.
 
-#[allow(dead_code, unused_imports, reason = "each test uses a part")]
+#[allow(
+    dead_code,
+    unused_imports,
+    reason = "each test uses a part of the support module"
+)]
 mod support;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sequoiawing_types::Time;
 use std::time::Duration;
-use support::{Checker, Place, Settings, World};
+use support::{Checker, Node, Settings, World};
 
 /// The virtual time of each run.
 const SPAN: Duration = Duration::from_mins(1);
@@ -26,25 +31,25 @@
     tokens: u64,
 }
 
-/// Bursts that prefer one data centre and one router for a while each, at
-/// `load` times the rate on average.
-fn bursts(seed: u64, load: f64) -> Vec<Arrival> {
+/// Returns bursts of requests at `load` times the rate on average. Each burst
+/// prefers one data centre and one router.
+fn generate_bursts(seed: u64, load: f64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     let mut at = Time::ZERO + Duration::from_secs(2);
     while at < Time::ZERO + SPAN {
-        let (home, door) = (rng.random_range(0..3), rng.random_range(0..2));
+        let (home_centre, home_router) = (rng.random_range(0..3), rng.random_range(0..2));
         let count = rng.random_range(1..40);
         let mut sum = 0;
         for _ in 0..count {
             let is_home = rng.random_bool(0.8);
             let centre = if is_home {
-                home
+                home_centre
             } else {
                 rng.random_range(0..3)
             };
             let router = if is_home {
-                door
+                home_router
             } else {
                 rng.random_range(0..2)
             };
@@ -58,61 +63,67 @@
                 tokens,
             });
         }
-        let pause = f64::from(u32::try_from(sum).expect("small")) / 1_000.0 / load;
+        let pause = f64::from(u32::try_from(sum).expect("the value fits in u32")) / 1_000.0 / load;
         at = at + Duration::from_secs_f64(pause);
     }
     arrivals
 }
 
-fn shared(arrivals: &[Arrival], is_cut: bool) -> World {
+fn run_shared(arrivals: &[Arrival], is_cut: bool) -> World {
     let mut world = World::new(Settings {
-        judge: true,
+        check_refusals: true,
         exact: true,
         ..Settings::default()
     });
     let joined = Time::ZERO + Duration::from_secs(1);
-    world.run_until(joined).expect("the total holds");
+    world.run_until(joined).expect("the total is not exceeded");
     if is_cut {
-        world.network.cut(Place::Owner, Place::Centre(0));
-        world.network.cut(Place::Centre(0), Place::Owner);
+        world.network.cut(Node::Owner, Node::Centre(0));
+        world.network.cut(Node::Centre(0), Node::Owner);
     }
-    for one in arrivals {
-        world.run_until(one.at).expect("the total holds");
-        world.request(one.centre, one.router, one.tokens);
+    for arrival in arrivals {
+        world
+            .run_until(arrival.at)
+            .expect("the total is not exceeded");
+        world.request(arrival.centre, arrival.router, arrival.tokens);
     }
-    world.run_until(Time::ZERO + SPAN).expect("the total holds");
+    world
+        .run_until(Time::ZERO + SPAN)
+        .expect("the total is not exceeded");
     world
 }
 
-/// Returns the requests that a rate divided by host refuses, though one bucket
-/// that had admitted the same would not.
-fn divided(arrivals: &[Arrival]) -> (u64, u64) {
+/// Returns the number of requests that are refused when the rate is divided
+/// among the hosts, and how many of them one bucket would have admitted.
+fn run_static_division(arrivals: &[Arrival]) -> (u64, u64) {
     let limits = Settings::default().limits;
     let mut checker = Checker::new(limits, 0);
     let mut levels = [[BURST / 6; 2]; 3];
     let mut last = Time::ZERO;
-    let (mut refused, mut wrongful, mut earned) = (0, 0, 0);
-    for one in arrivals {
-        earned += u64::try_from(one.at.since(last).as_micros()).expect("small") * RATE / 6;
-        last = one.at;
+    let (mut refused, mut wrong_refusals, mut earned) = (0, 0, 0);
+    for arrival in arrivals {
+        earned += u64::try_from(arrival.at.since(last).as_micros()).expect("the value fits in u32")
+            * RATE
+            / 6;
+        last = arrival.at;
         let whole = earned / 1_000_000;
         earned %= 1_000_000;
         for level in levels.iter_mut().flatten() {
             *level = (*level + whole).min(BURST / 6);
         }
-        let level = &mut levels[one.centre][one.router];
-        if *level >= one.tokens {
-            *level -= one.tokens;
-            checker.admit(one.at, one.tokens);
+        let level = &mut levels[arrival.centre][arrival.router];
+        if *level >= arrival.tokens {
+            *level -= arrival.tokens;
+            checker.admit(arrival.at, arrival.tokens);
             continue;
         }
         refused += 1;
-        let tokens = u32::try_from(one.tokens).expect("small");
-        if checker.level(one.at) >= f64::from(tokens) {
-            wrongful += 1;
+        let tokens = u32::try_from(arrival.tokens).expect("the value fits in u32");
+        if checker.level(arrival.at) >= f64::from(tokens) {
+            wrong_refusals += 1;
         }
     }
-    (refused, wrongful)
+    (refused, wrong_refusals)
 }
 
 #[test]
@@ -121,18 +132,18 @@
     for load in [0.5, 0.8, 1.0, 2.0] {
         let mut sums = [0; 8];
         for seed in 0..10 {
-            let arrivals = bursts(seed, load);
-            let connected = shared(&arrivals, false);
-            let cut = shared(&arrivals, true);
-            let (refused, wrongful) = divided(&arrivals);
+            let arrivals = generate_bursts(seed, load);
+            let connected = run_shared(&arrivals, false);
+            let cut = run_shared(&arrivals, true);
+            let (refused, wrong_refusals) = run_static_division(&arrivals);
             let row = [
                 arrivals.len() as u64,
                 connected.refused,
-                connected.wrongful,
+                connected.wrong_refusals,
                 cut.refused,
-                cut.wrongful,
+                cut.wrong_refusals,
                 refused,
-                wrongful,
+                wrong_refusals,
                 0,
             ];
             sums.iter_mut().zip(row).for_each(|(s, r)| *s += r);
@@ -154,13 +165,13 @@
         ("five times the rate", 5.0),
     ] {
         let mut arrivals = if load > 0.0 {
-            bursts(1, load)
+            generate_bursts(1, load)
         } else {
             Vec::new()
         };
         arrivals.truncate(20_000);
-        let world = shared(&arrivals, false);
-        for place in [Place::Router(0, 0), Place::Centre(0), Place::Owner] {
+        let world = run_shared(&arrivals, false);
+        for place in [Node::Router(0, 0), Node::Centre(0), Node::Owner] {
             let (count, bytes) = world.network.sent.get(&place).copied().unwrap_or_default();
             let seconds = SPAN.as_secs();
             println!(
--- a/crates/sequoiawing_budget/tests/first_credit.rs
+++ b/crates/sequoiawing_budget/tests/first_credit.rs
@@ -1,14 +1,15 @@
-//! What a request is told before any lender knows what it may lend.
+//! Guards against requests that are refused as exhausted although no lender
+//! knows yet how much it may lend, as after a restart or an election.
 
-#[allow(dead_code, reason = "each test uses a part of the support")]
-#[allow(unused_imports, reason = "as above")]
+#[allow(dead_code, reason = "each test uses a part of the support module")]
+#[allow(unused_imports, reason = "each test uses a part of the support module")]
 mod support;
 
 use sequoiawing_budget::Denial;
 use std::time::Duration;
-use support::{Place, Settings, World};
+use support::{Node, Settings, World};
 
-/// Longer than requests wait for a lender at most.
+/// Longer than the maximum time that requests wait for a lender.
 const SPAN: Duration = Duration::from_secs(4);
 
 /// Sends a small request to every router and lets time pass.
@@ -19,12 +20,12 @@
         }
     }
     let end = world.now + span;
-    world.run_until(end).expect("the total holds");
+    world.run_until(end).expect("the total is not exceeded");
 }
 
-fn spent(world: &World) -> usize {
-    let is_spent = |d: &&Denial| matches!(d, Denial::Exhausted(_));
-    world.denials.iter().filter(is_spent).count()
+fn exhausted(world: &World) -> usize {
+    let is_exhausted = |d: &&Denial| matches!(d, Denial::Exhausted(_));
+    world.denials.iter().filter(is_exhausted).count()
 }
 
 macro_rules! cases {
@@ -36,7 +37,7 @@
                 let script: fn(&mut World) = $script;
                 let mut world = World::new(settings);
                 script(&mut world);
-                assert_eq!(spent(&world), 0, "seed {seed}: {:?}", world.denials);
+                assert_eq!(exhausted(&world), 0, "seed {seed}: {:?}", world.denials);
             }
         }
     )*};
@@ -46,7 +47,7 @@
     without_an_owner_no_lender_answers: |world| {
         world.stop_owner();
         request_everywhere(world, SPAN);
-        assert!(!world.denials.is_empty(), "nobody can have lent");
+        assert!(!world.denials.is_empty(), "no request can have been granted");
     };
     a_first_request_waits_for_the_first_owner: |world| {
         world.stop_owner();
@@ -69,17 +70,17 @@
         request_everywhere(world, SPAN);
         assert_eq!(world.denials, []);
     };
-    a_cut_off_data_centre_without_a_share_refuses_nobody_as_spent: |world| {
+    a_disconnected_data_centre_without_a_share_reports_no_exhaustion: |world| {
         for c in 0..world.settings.centres {
-            world.network.cut(Place::Centre(c), Place::Owner);
+            world.network.cut(Node::Centre(c), Node::Owner);
         }
         request_everywhere(world, Duration::from_millis(1_900));
         assert_eq!(world.denials, []);
     };
 }
 
-/// The only data centre of a deployment, whose cut-off share is the whole.
-fn lone_centre(seed: u64) -> Settings {
+/// Returns a deployment with one data centre, whose share is the whole total.
+fn single_centre(seed: u64) -> Settings {
     Settings {
         seed,
         centres: 1,
@@ -88,13 +89,15 @@
 }
 
 #[test]
-fn a_request_waits_while_a_killed_leader_may_hold_credit() {
+fn a_request_waits_while_a_stopped_leader_may_hold_credit() {
     for seed in 0..8 {
-        let mut world = World::new(lone_centre(seed));
+        let mut world = World::new(single_centre(seed));
         request_everywhere(&mut world, SPAN);
         world.stop_leader(0);
         let election = world.now + Duration::from_millis(1_500);
-        world.run_until(election).expect("the total holds");
+        world
+            .run_until(election)
+            .expect("the total is not exceeded");
         world.start_leader(0, 1);
         request_everywhere(&mut world, SPAN);
         assert_eq!(world.denials, [], "seed {seed}");
--- a/crates/sequoiawing_budget/tests/lender.rs
+++ b/crates/sequoiawing_budget/tests/lender.rs
@@ -1,10 +1,11 @@
-//! What the owner does before a data centre has asked.
+//! Guards against an owner that reserves shares for data centres that have
+//! never sent a request.
 
 use sequoiawing_budget::{BorrowRequest, Lender, Limits, Share, Timing};
 use sequoiawing_types::{Name, Time};
 
 #[test]
-fn a_data_centre_that_never_asked_keeps_nothing_from_the_others() {
+fn a_data_centre_that_sent_no_request_reserves_nothing() {
     let limits = Limits::tokens(1_000, 4_000);
     let start = Time::from_millis(1);
     let mut lender = Lender::owner(start, 1, limits, Timing::default(), None);
--- a/crates/sequoiawing_budget/tests/stories.rs
+++ b/crates/sequoiawing_budget/tests/scenarios.rs
@@ -1,21 +1,21 @@
 //! Runs the scripted scenarios in `tests/scenarios`.
 //!
 //! Commands: `cut from=owner to=c0` (one direction; `both` for two), `heal`,
-//! `stop-owner`, `start-owner`, `stop-leader c0`, `start-leader c0 r1`,
-//! `send ms=1000` (far above the rate, from all routers), `wait ms=1000` and
-//! `state`. Everything that was admitted is checked after each command.
+//! `stop-owner`, `start-owner`, `stop-leader` (of c0), `start-leader` (r1 in
+//! c0), `send ms=1000` (far above the rate, from all routers), `wait ms=1000`
+//! and `state`. The checker replays all admitted requests after each command.
 
-#[allow(dead_code, reason = "each test uses a part of the support")]
-#[allow(unused_imports, reason = "as above")]
+#[allow(dead_code, reason = "each test uses a part of the support module")]
+#[allow(unused_imports, reason = "each test uses a part of the support module")]
 mod support;
 
 use datadriven::{TestCase, walk};
 use rand::RngExt;
 use std::{fmt::Write, time::Duration};
-use support::{Place, Settings, World};
+use support::{Node, Settings, World};
 
 #[test]
-fn stories() {
+fn scenarios() {
     walk("tests/scenarios", |file| {
         let mut world = World::new(Settings::default());
         file.run(|case| {
@@ -33,8 +33,8 @@
     let millis = || name("ms").and_then(|v| v.parse().ok()).unwrap_or(0);
     match case.directive.as_str() {
         "cut" => {
-            let from = place(name("from").expect("cut needs from"));
-            let to = place(name("to").expect("cut needs to"));
+            let from = place(name("from").expect("cut requires from"));
+            let to = place(name("to").expect("cut requires to"));
             world.network.cut(from, to);
             if case.args.contains_key("both") {
                 world.network.cut(to, from);
@@ -64,14 +64,18 @@
         "wait" => wait(world, millis()),
         "send" => send(world, millis()),
         "state" => state(world),
-        other => panic!("no command {other}"),
+        other => panic!("unknown command {other}"),
     }
 }
 
-fn place(name: &str) -> Place {
+fn place(name: &str) -> Node {
     match name {
-        "owner" => Place::Owner,
-        _ => Place::Centre(name[1..].parse().expect("c and a number")),
+        "owner" => Node::Owner,
+        _ => Node::Centre(
+            name[1..]
+                .parse()
+                .expect("a place is `owner` or c and a number"),
+        ),
     }
 }
 
@@ -98,7 +102,8 @@
     }
     let mut output = String::new();
     for (c, admitted) in world.admitted.iter().enumerate() {
-        writeln!(output, "c{c}: {} tokens", admitted - before[c]).expect("a string grows");
+        writeln!(output, "c{c}: {} tokens", admitted - before[c])
+            .expect("writing to a string cannot fail");
     }
     output
 }
@@ -111,7 +116,7 @@
         } else {
             "joined"
         };
-        writeln!(output, "c{c}: {state}").expect("a string grows");
+        writeln!(output, "c{c}: {state}").expect("writing to a string cannot fail");
     }
     output
 }
--- a/crates/sequoiawing_budget/tests/support/checker.rs
+++ b/crates/sequoiawing_budget/tests/support/checker.rs
@@ -2,28 +2,29 @@
 use sequoiawing_types::Time;
 use std::collections::BTreeMap;
 
-/// What rounding may leave over, in tokens.
+/// The tolerance for rounding, in tokens.
 const ROUNDING: f64 = 1.5;
 
-/// One admitted request: when, and the most that it may use.
+/// An admitted request, with the maximum that it may use.
 #[derive(Clone, Copy)]
-struct Use {
+struct Usage {
     at: Time,
     tokens: u64,
 }
 
-/// Replays everything that was admitted, on all hosts, through one bucket.
+/// Replays the requests that all hosts admitted through a single bucket.
 ///
-/// A request counts at its admission with what it used in the end, or with what
-/// it reserved while it runs.
+/// A request counts at its admission: with the tokens that it reserved while it
+/// runs, and with the tokens that it used after it has ended.
 pub(crate) struct Checker {
     limits: Limits,
-    /// Tokens a second, as the fastest clock within the drift counts them.
+    /// The rate in tokens per second, as counted by the fastest clock within
+    /// the drift.
     rate: f64,
-    uses: Vec<Use>,
-    /// What is in use at once, for slots.
+    uses: Vec<Usage>,
+    /// The slots that are in use.
     held: u64,
-    single: Single,
+    single: SingleBucket,
     pub(crate) admitted: u64,
 }
 
@@ -31,14 +32,14 @@
     pub(crate) fn new(limits: Limits, drift: u32) -> Self {
         let drift = f64::from(drift) / 1e6;
         let rate = float(limits.rate()) * (1.0 + drift);
-        // What the owner's clock may have counted at least.
+        // The rate as counted by the slowest clock of an owner.
         let least = float(limits.rate()) * (1.0 - drift);
         Self {
             limits,
             rate,
             uses: Vec::new(),
             held: 0,
-            single: Single::new(least, float(limits.burst)),
+            single: SingleBucket::new(least, float(limits.burst)),
             admitted: 0,
         }
     }
@@ -46,7 +47,7 @@
     pub(crate) fn admit(&mut self, at: Time, tokens: u64) -> usize {
         self.admitted += 1;
         self.held += tokens;
-        self.uses.push(Use { at, tokens });
+        self.uses.push(Usage { at, tokens });
         let index = self.uses.len() - 1;
         self.single.spend(at, index, float(tokens));
         index
@@ -59,13 +60,13 @@
         self.single.refund(now, index, float(unused));
     }
 
-    /// Returns what one bucket on one host would hold now.
+    /// Returns the balance that a single bucket on one host would have now.
     pub(crate) fn level(&mut self, now: Time) -> f64 {
         self.single.fill(now);
         self.single.level
     }
 
-    /// Fails when the total was ever exceeded, over any span.
+    /// Returns an error if the total was exceeded over any period.
     pub(crate) fn check(&self, now: Time) -> Result<(), String> {
         if self.limits.refill == Refill::OnReturn {
             let is_within = self.held <= self.limits.burst;
@@ -77,20 +78,20 @@
         }
         let mut level = float(self.limits.burst);
         let mut last = Time::ZERO;
-        for one in &self.uses {
-            level += self.rate * one.at.since(last).as_secs_f64();
-            level = level.min(float(self.limits.burst)) - float(one.tokens);
-            last = one.at;
+        for usage in &self.uses {
+            level += self.rate * usage.at.since(last).as_secs_f64();
+            level = level.min(float(self.limits.burst)) - float(usage.tokens);
+            last = usage.at;
             if level < -ROUNDING {
-                return Err(format!("overdrawn by {:.0} at {}", -level, one.at));
+                return Err(format!("overdrawn by {:.0} at {}", -level, usage.at));
             }
         }
         Ok(())
     }
 }
 
-/// One bucket on one host, with the rule for refunds that the budget has.
-struct Single {
+/// A bucket on a single host with the same refund rule as the budget.
+struct SingleBucket {
     rate: f64,
     burst: f64,
     level: f64,
@@ -98,7 +99,7 @@
     refundable: BTreeMap<usize, f64>,
 }
 
-impl Single {
+impl SingleBucket {
     fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
@@ -113,10 +114,10 @@
         self.level += self.rate * now.since(self.last).as_secs_f64();
         self.level = self.level.min(self.burst);
         self.last = now;
-        let open: f64 = self.refundable.values().sum();
+        let outstanding: f64 = self.refundable.values().sum();
         let room = self.burst - self.level;
-        if open > room {
-            let part = room / open;
+        if outstanding > room {
+            let part = room / outstanding;
             self.refundable.values_mut().for_each(|r| *r *= part);
         }
     }
@@ -136,5 +137,5 @@
 }
 
 fn float(value: u64) -> f64 {
-    f64::from(u32::try_from(value).expect("numbers are small"))
+    f64::from(u32::try_from(value).expect("the value fits in u32"))
 }
--- a/crates/sequoiawing_budget/tests/support/faults.rs
+++ b/crates/sequoiawing_budget/tests/support/faults.rs
@@ -1,32 +1,32 @@
 use super::{
-    Plant, World,
+    InjectedFault, World,
     clock::clock,
     world::{Owner, router},
 };
 use sequoiawing_budget::{CentreBudget, Lender, Refill};
 use std::time::Duration;
 
-/// What stops, starts and restarts.
+/// Stops, starts and restarts of processes.
 impl World {
-    /// Stops the owner; commands under way may or may not be committed.
+    /// Stops the owner. Pending commands may or may not be committed.
     pub(crate) fn stop_owner(&mut self) {
         self.owner = None;
     }
 
-    /// Starts a successor of the owner from the log.
+    /// Starts a successor of the owner with the state in the log.
     pub(crate) fn start_owner(&mut self) {
         self.term += 1;
         let clock = clock(&self.settings, &mut self.rng);
         let mut watermark = self.log.clone();
         let limits = self.settings.limits;
         let mut timing = self.settings.timing;
-        match self.settings.plant {
-            Plant::WatermarkIgnored => {
+        match self.settings.injected_fault {
+            InjectedFault::WatermarkIgnored => {
                 if let Some(watermark) = &mut watermark {
                     watermark.floor = limits.burst;
                 }
             }
-            Plant::AccrualNotStopped => timing.lease = Duration::from_hours(1),
+            InjectedFault::AccrualNotStopped => timing.lease = Duration::from_hours(1),
             _ => {}
         }
         let now = clock.now(self.now);
@@ -48,7 +48,7 @@
         let share = router.admission.budget().share();
         let settings = &self.settings;
         let mut timing = settings.timing;
-        if settings.plant == Plant::LeaseNotWaited {
+        if settings.injected_fault == InjectedFault::LeaseNotWaited {
             timing.lease /= 10;
         }
         let centre = CentreBudget::new(now, cell.term, settings.limits, timing, share);
@@ -74,8 +74,8 @@
         self.owner.as_ref().map_or(0, |o| o.lender.balance())
     }
 
-    /// Restarts a router, which forgets everything, and with it the leader of
-    /// the cell if it was there.
+    /// Restarts a router without its state. Stops the leader of the cell if it
+    /// ran on this router.
     pub(crate) fn restart_router(&mut self, c: usize, r: usize) {
         if self.cells[c].leader == r {
             self.stop_leader(c);
@@ -84,7 +84,7 @@
         let fresh = router(&self.settings, &mut self.rng, self.now, incarnation);
         let old = std::mem::replace(&mut self.cells[c].routers[r], fresh);
         if self.settings.limits.refill == Refill::OnReturn {
-            for index in old.open.into_keys() {
+            for index in old.active.into_keys() {
                 self.settle(index, 0);
             }
         }
--- a/crates/sequoiawing_budget/tests/support/sites.rs
+++ b/crates/sequoiawing_budget/tests/support/loads.rs
@@ -1,4 +1,4 @@
-use super::{Network, Place};
+use super::{Network, Node};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sequoiawing_budget::{
@@ -7,28 +7,32 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
-/// How often every machine is looked at.
+/// The interval at which every host is polled.
 const TICK: Duration = Duration::from_millis(1);
 
-/// How long a leader listens before it knows what runs in its data centre.
-const LISTENING: Duration = Duration::from_millis(100);
+/// How long a leader collects reports before it knows what runs in its data
+/// centre.
+const DISCOVERY_PERIOD: Duration = Duration::from_millis(100);
 
-/// The longest load.
-pub(crate) const HOLDING: Duration = Duration::from_micros(HOLDING_MICROS);
-const HOLDING_MICROS: u64 = 3_000_000;
+/// The longest duration of a load.
+pub(crate) const MAX_LOAD: Duration = Duration::from_micros(MAX_LOAD_MICROS);
+const MAX_LOAD_MICROS: u64 = 3_000_000;
 
-/// The slots of all data centres.
+/// The number of slots of all data centres together.
 pub(crate) const SLOTS: u64 = 4;
 
-/// A fault that the checker has to catch.
+/// A fault that the checker must catch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
     None,
-    /// The owner takes slots back when their lease ends, whatever still runs.
-    HoldingIgnored,
-    /// A leader vouches for its data centre before it has listened.
-    NotListened,
-    /// A data centre uses its share before the others have ended their loads.
+    /// The owner takes slots back when their lease expires, even if a load that
+    /// holds one still runs.
+    OverrunIgnored,
+    /// A leader confirms the slots in use before it knows what runs in its data
+    /// centre.
+    DiscoverySkipped,
+    /// A disconnected data centre uses its share before the others have ended
+    /// their loads on it.
     ShareTooEarly,
 }
 
@@ -44,35 +48,35 @@
     }
 }
 
-/// A data centre, whose loads go on without its leader.
-struct Site {
+/// A data centre whose loads continue when its leader is lost.
+struct CentreLoads {
     clock: Clock,
     term: u64,
     slots: Option<CentreSlots>,
     share: Share,
-    led: Time,
+    elected: Time,
     loads: Vec<Time>,
     waiting: u64,
 }
 
 enum Event {
     ToOwner(usize, u64, BorrowRequest),
-    ToSite(usize, u64, Reply),
+    ToCentre(usize, u64, Reply),
     Committed(u64, Watermark),
 }
 
-/// Data centres that load from one store, in virtual time.
-pub(crate) struct Sites {
+/// A simulation in virtual time of data centres that load from one store.
+pub(crate) struct LoadWorld {
     pub(crate) now: Time,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) network: Network,
-    /// The loads that were begun.
-    pub(crate) begun: u64,
+    /// The number of started loads.
+    pub(crate) started: u64,
     fault: Fault,
     term: u64,
     owner: Option<(Clock, Lender)>,
     log: Option<Watermark>,
-    centres: Vec<Site>,
+    centres: Vec<CentreLoads>,
     events: BTreeMap<(Time, u64), Event>,
     sequence: u64,
 }
@@ -89,29 +93,29 @@
     Name::from(c.to_string())
 }
 
-impl Sites {
+impl LoadWorld {
     pub(crate) fn new(seed: u64, count: usize, fault: Fault) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let site = |rng: &mut ChaCha8Rng| Site {
+        let centre = |rng: &mut ChaCha8Rng| CentreLoads {
             clock: clock(rng),
             term: 0,
             slots: None,
             share: Share::NONE,
-            led: Time::ZERO,
+            elected: Time::ZERO,
             loads: Vec::new(),
             waiting: 0,
         };
-        let sites = (0..count).map(|_| site(&mut rng)).collect();
+        let centres = (0..count).map(|_| centre(&mut rng)).collect();
         let mut world = Self {
             now: Time::ZERO,
             rng,
             network: Network::new(),
-            begun: 0,
+            started: 0,
             fault,
             term: 0,
             owner: None,
             log: None,
-            centres: sites,
+            centres,
             events: BTreeMap::new(),
             sequence: 0,
         };
@@ -127,10 +131,10 @@
     pub(crate) fn start_owner(&mut self) {
         self.term += 1;
         let clock = clock(&mut self.rng);
-        let overrun = if self.fault == Fault::HoldingIgnored {
+        let overrun = if self.fault == Fault::OverrunIgnored {
             Duration::ZERO
         } else {
-            HOLDING
+            MAX_LOAD
         };
         let now = clock.now(self.now);
         let limits = Limits::slots(SLOTS);
@@ -146,15 +150,15 @@
         let overrun = if self.fault == Fault::ShareTooEarly {
             Duration::ZERO
         } else {
-            HOLDING
+            MAX_LOAD
         };
-        let site = &mut self.centres[c];
-        site.term += 1;
-        site.led = self.now;
-        let now = site.clock.now(self.now);
+        let centre = &mut self.centres[c];
+        centre.term += 1;
+        centre.elected = self.now;
+        let now = centre.clock.now(self.now);
         let limits = Limits::slots(SLOTS);
-        let slots = CentreSlots::new(now, site.term, limits, timing(overrun), site.share);
-        site.slots = Some(slots);
+        let slots = CentreSlots::new(now, centre.term, limits, timing(overrun), centre.share);
+        centre.slots = Some(slots);
     }
 
     pub(crate) fn has_owner(&self) -> bool {
@@ -165,17 +169,17 @@
         self.centres[c].slots.is_some()
     }
 
-    /// Asks a data centre for more loads.
-    pub(crate) fn want(&mut self, c: usize, loads: u64) {
+    /// Queues more loads in a data centre.
+    pub(crate) fn request_loads(&mut self, c: usize, loads: u64) {
         self.centres[c].waiting += loads;
     }
 
-    /// Returns the loads that run in a data centre.
+    /// Returns the number of loads that run in a data centre.
     pub(crate) fn running(&self, c: usize) -> usize {
         self.centres[c].loads.len()
     }
 
-    /// Lets time pass and checks the slots on the way.
+    /// Advances the time by `span` and checks the slots after each tick.
     pub(crate) fn run(&mut self, span: Duration) -> Result<(), String> {
         let end = self.now + span;
         while self.now < end {
@@ -187,8 +191,8 @@
                 let event = entry.remove();
                 self.event(event);
             }
-            self.pump_owner();
-            (0..self.centres.len()).for_each(|c| self.pump(c));
+            self.poll_owner();
+            (0..self.centres.len()).for_each(|c| self.poll(c));
             self.check()?;
         }
         Ok(())
@@ -202,44 +206,48 @@
         Ok(())
     }
 
-    fn pump(&mut self, c: usize) {
-        let site = &mut self.centres[c];
-        site.loads.retain(|end| *end > self.now);
-        let listened = self.now >= site.led + LISTENING;
-        let used = if listened { site.loads.len() as u64 } else { 0 };
-        let Some(slots) = &mut site.slots else {
+    fn poll(&mut self, c: usize) {
+        let centre = &mut self.centres[c];
+        centre.loads.retain(|end| *end > self.now);
+        let is_discovered = self.now >= centre.elected + DISCOVERY_PERIOD;
+        let used = if is_discovered {
+            centre.loads.len() as u64
+        } else {
+            0
+        };
+        let Some(slots) = &mut centre.slots else {
             return;
         };
-        if !listened && self.fault != Fault::NotListened {
+        if !is_discovered && self.fault != Fault::DiscoverySkipped {
             return;
         }
-        let now = site.clock.now(self.now);
-        slots.set_use(now, used, used + site.waiting);
-        let mut free = slots.limit(now).saturating_sub(used).min(site.waiting);
+        let now = centre.clock.now(self.now);
+        slots.set_use(now, used, used + centre.waiting);
+        let mut free = slots.limit(now).saturating_sub(used).min(centre.waiting);
         while free > 0 {
             free -= 1;
-            site.waiting -= 1;
-            self.begun += 1;
-            let longest = HOLDING_MICROS * 1_000_000 / site.clock.millionths;
+            centre.waiting -= 1;
+            self.started += 1;
+            let longest = MAX_LOAD_MICROS * 1_000_000 / centre.clock.millionths;
             let span = Duration::from_micros(self.rng.random_range(longest / 10..longest));
-            site.loads.push(self.now + span);
+            centre.loads.push(self.now + span);
         }
         slots.set_use(
             now,
-            site.loads.len() as u64,
-            site.loads.len() as u64 + site.waiting,
+            centre.loads.len() as u64,
+            centre.loads.len() as u64 + centre.waiting,
         );
-        site.share = slots.share();
+        centre.share = slots.share();
         if slots.is_due(now) {
             let request = slots.borrow_request(now);
-            let term = site.term;
-            self.post(Place::Centre(c), Place::Owner, || {
+            let term = centre.term;
+            self.post(Node::Centre(c), Node::Owner, || {
                 Event::ToOwner(c, term, request.clone())
             });
         }
     }
 
-    fn pump_owner(&mut self) {
+    fn poll_owner(&mut self) {
         let Some((clock, lender)) = &mut self.owner else {
             return;
         };
@@ -261,14 +269,14 @@
                 let now = clock.now(self.now);
                 lender.set_shares(now, [(name(c), Share::equal(count))]);
                 let reply = lender.handle(now, &name(c), &request);
-                self.post(Place::Owner, Place::Centre(c), || {
-                    Event::ToSite(c, term, reply.clone())
+                self.post(Node::Owner, Node::Centre(c), || {
+                    Event::ToCentre(c, term, reply.clone())
                 });
             }
-            Event::ToSite(c, term, reply) => {
-                let site = &mut self.centres[c];
-                let now = site.clock.now(self.now);
-                if let Some(slots) = site.slots.as_mut().filter(|_| site.term == term) {
+            Event::ToCentre(c, term, reply) => {
+                let centre = &mut self.centres[c];
+                let now = centre.clock.now(self.now);
+                if let Some(slots) = centre.slots.as_mut().filter(|_| centre.term == term) {
                     slots.handle_reply(now, &reply);
                 }
             }
@@ -284,7 +292,7 @@
         }
     }
 
-    fn post<F>(&mut self, from: Place, to: Place, event: F)
+    fn post<F>(&mut self, from: Node, to: Node, event: F)
     where
         F: Fn() -> Event,
     {
--- a/crates/sequoiawing_budget/tests/support/mod.rs
+++ b/crates/sequoiawing_budget/tests/support/mod.rs
@@ -1,16 +1,16 @@
-//! Owners, cell leaders and routers over a lossy network in virtual time, and a
-//! checker of the total.
+//! A simulation of owners, cell leaders and routers on a lossy network in
+//! virtual time, with a checker for the total.
 
-mod arrivals;
 mod checker;
 mod clock;
+mod events;
 mod faults;
+pub(crate) mod loads;
 mod network;
 mod settings;
-pub(crate) mod sites;
 mod world;
 
 pub(crate) use checker::Checker;
-pub(crate) use network::{Network, Place};
-pub(crate) use settings::{Plant, Settings};
+pub(crate) use network::{Network, Node};
+pub(crate) use settings::{InjectedFault, Settings};
 pub(crate) use world::World;
--- a/crates/sequoiawing_budget/tests/support/network.rs
+++ b/crates/sequoiawing_budget/tests/support/network.rs
@@ -5,23 +5,23 @@
     time::Duration,
 };
 
-/// An end of a connection.
+/// An endpoint of a connection.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Place {
+pub(crate) enum Node {
     Owner,
     Centre(usize),
     Router(usize, usize),
 }
 
-/// Which messages arrive, and when.
+/// A network that loses, duplicates and delays messages.
 pub(crate) struct Network {
     pub(crate) loss: f64,
     pub(crate) repeat: f64,
-    /// The shortest and longest delay, in microseconds.
+    /// The minimum and maximum delay, in microseconds.
     pub(crate) delay: (u64, u64),
-    cuts: BTreeSet<(Place, Place)>,
-    /// The messages and bytes that each place has sent.
-    pub(crate) sent: BTreeMap<Place, (u64, u64)>,
+    cuts: BTreeSet<(Node, Node)>,
+    /// The number of messages and bytes that each node has sent.
+    pub(crate) sent: BTreeMap<Node, (u64, u64)>,
 }
 
 impl Network {
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(crate) fn cut(&mut self, from: Place, to: Place) {
+    pub(crate) fn cut(&mut self, from: Node, to: Node) {
         self.cuts.insert((from, to));
     }
 
@@ -43,20 +43,20 @@
         self.cuts.clear();
     }
 
-    pub(crate) fn count<T>(&mut self, from: Place, message: &T)
+    pub(crate) fn count<T>(&mut self, from: Node, message: &T)
     where
         T: Serialize,
     {
         let bytes = serde_json::to_vec(message)
-            .expect("messages are JSON")
+            .expect("messages serialize to JSON")
             .len();
         let sent = self.sent.entry(from).or_default();
         sent.0 += 1;
-        sent.1 += u64::try_from(bytes).expect("it fits");
+        sent.1 += u64::try_from(bytes).expect("the value fits in u64");
     }
 
-    /// Returns the delays of the copies that arrive.
-    pub(crate) fn send<R>(&self, rng: &mut R, from: Place, to: Place) -> Vec<Duration>
+    /// Returns the delay of each copy of a message that arrives.
+    pub(crate) fn send<R>(&self, rng: &mut R, from: Node, to: Node) -> Vec<Duration>
     where
         R: Rng,
     {
@@ -65,7 +65,7 @@
         }
         let copies = if rng.random_bool(self.repeat) { 2 } else { 1 };
         let delay = |rng: &mut R| {
-            // A few messages are held up for long.
+            // One in a hundred messages is delayed much longer.
             let factor = if self.loss > 0.0 && rng.random_bool(0.01) {
                 500
             } else {
--- a/crates/sequoiawing_budget/tests/support/settings.rs
+++ b/crates/sequoiawing_budget/tests/support/settings.rs
@@ -1,17 +1,18 @@
 use sequoiawing_budget::{Limits, Timing};
 use std::time::Duration;
 
-/// A fault that the checker has to catch.
+/// A fault that the checker must catch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Plant {
+pub(crate) enum InjectedFault {
     None,
     /// A share is granted before another data centre has released it.
     ShareBeforeRelease,
-    /// A successor starts full, whatever the log says.
+    /// A successor starts with a full bucket and ignores the log.
     WatermarkIgnored,
-    /// The owner takes what it sent for heard.
+    /// The owner goes on accruing the share of a data centre that does not
+    /// acknowledge its replies.
     AccrualNotStopped,
-    /// A cell leader waits for less than the leases that it grants.
+    /// A cell leader waits for less time than the leases that it grants.
     LeaseNotWaited,
 }
 
@@ -22,14 +23,14 @@
     pub(crate) timing: Timing,
     pub(crate) centres: usize,
     pub(crate) routers: usize,
-    pub(crate) plant: Plant,
-    /// Whether each refusal is compared with one bucket.
-    pub(crate) judge: bool,
-    /// What the budget may be behind one bucket, in tokens.
+    pub(crate) injected_fault: InjectedFault,
+    /// Whether each refusal is compared with a single bucket.
+    pub(crate) check_refusals: bool,
+    /// How far the budget may lag behind a single bucket, in tokens.
     pub(crate) slack: u64,
-    /// Whether requests use all that they reserve.
+    /// Whether requests use all tokens that they reserve.
     pub(crate) exact: bool,
-    pub(crate) patience: Duration,
+    pub(crate) max_wait: Duration,
 }
 
 impl Default for Settings {
@@ -44,11 +45,11 @@
             },
             centres: 3,
             routers: 2,
-            plant: Plant::None,
-            judge: false,
+            injected_fault: InjectedFault::None,
+            check_refusals: false,
             slack: 0,
             exact: false,
-            patience: Duration::from_millis(50),
+            max_wait: Duration::from_millis(50),
         }
     }
 }
--- a/crates/sequoiawing_budget/tests/support/world.rs
+++ b/crates/sequoiawing_budget/tests/support/world.rs
@@ -1,5 +1,5 @@
 use super::{
-    Checker, Network, Place, Plant, Settings,
+    Checker, InjectedFault, Network, Node, Settings,
     clock::{Clock, clock},
 };
 use rand::{RngExt, SeedableRng};
@@ -15,18 +15,18 @@
     time::Duration,
 };
 
-/// How often every machine is looked at.
+/// The interval at which every host is polled.
 const TICK: Duration = Duration::from_millis(1);
 
-/// How often the checker replays everything.
+/// The interval at which the checker replays all admitted requests.
 const CHECK: Duration = Duration::from_millis(500);
 
 pub(super) struct Router {
     pub(super) clock: Clock,
     pub(super) incarnation: u64,
     pub(super) admission: Admission,
-    /// The charges of requests that run.
-    pub(super) open: BTreeMap<usize, Charge>,
+    /// The charges of running requests.
+    pub(super) active: BTreeMap<usize, Charge>,
 }
 
 pub(super) struct Cell {
@@ -44,15 +44,15 @@
 pub(super) enum Event {
     ToOwner(usize, u64, BorrowRequest),
     ToCentre(usize, u64, Reply),
-    WakeCentre(usize),
+    RecallCentre(usize),
     ToLeader(usize, usize, u64, BorrowRequest),
     ToRouter(usize, usize, u64, Reply),
-    WakeRouter(usize, usize),
+    RecallRouter(usize, usize),
     Committed(u64, Watermark),
     End(usize, usize, u64, Charge, u64, usize),
 }
 
-/// A deployment of one budget.
+/// A simulated deployment of one budget.
 pub(crate) struct World {
     pub(crate) settings: Settings,
     pub(crate) now: Time,
@@ -62,10 +62,11 @@
     /// The tokens admitted in each data centre.
     pub(crate) admitted: Vec<u64>,
     pub(crate) refused: u64,
-    /// Why requests were refused, in their order.
+    /// The reasons of refusals, in order.
     pub(crate) denials: Vec<Denial>,
-    /// Requests refused though one bucket would have admitted them.
-    pub(crate) wrongful: u64,
+    /// Requests that were refused although a single bucket would have admitted
+    /// them.
+    pub(crate) wrong_refusals: u64,
     pub(super) term: u64,
     pub(super) owner: Option<Owner>,
     pub(super) log: Option<Watermark>,
@@ -74,8 +75,8 @@
     pub(super) events: BTreeMap<u64, Event>,
     pub(super) sequence: u64,
     pub(super) waiting: BTreeMap<u64, u64>,
-    pub(super) ticked: Time,
-    pub(super) checked: Time,
+    pub(super) last_tick: Time,
+    pub(super) last_check: Time,
 }
 
 impl World {
@@ -100,7 +101,7 @@
             admitted: vec![0; settings.centres],
             refused: 0,
             denials: Vec::new(),
-            wrongful: 0,
+            wrong_refusals: 0,
             term: 0,
             owner: None,
             log: None,
@@ -109,8 +110,8 @@
             events: BTreeMap::new(),
             sequence: 0,
             waiting: BTreeMap::new(),
-            ticked: now,
-            checked: now,
+            last_tick: now,
+            last_check: now,
         };
         world.start_owner();
         for c in 0..settings.centres {
@@ -129,7 +130,7 @@
             self.decide(c, r, tokens, decision);
         } else {
             self.waiting.insert(id, tokens);
-            self.pump_router(c, r);
+            self.poll_router(c, r);
         }
     }
 
@@ -145,7 +146,7 @@
             Err(denial) => return self.refuse(tokens, denial),
         };
         let index = self.checker.admit(self.now, tokens);
-        self.cells[c].routers[r].open.insert(index, charge);
+        self.cells[c].routers[r].active.insert(index, charge);
         self.admitted[c] += tokens;
         let used = if self.settings.exact {
             tokens
@@ -160,35 +161,35 @@
     pub(super) fn refuse(&mut self, tokens: u64, denial: Denial) {
         self.refused += 1;
         self.denials.push(denial);
-        if self.settings.judge {
-            self.judge(tokens);
+        if self.settings.check_refusals {
+            self.check_refusal(tokens);
         }
     }
 
-    /// Counts a refusal that one bucket would not have made.
+    /// Counts a refusal of a request that a single bucket would have admitted.
     ///
-    /// What accrues during the round trips is allowed for, and that credit may
-    /// be on its way to requests that wait elsewhere.
-    pub(super) fn judge(&mut self, tokens: u64) {
+    /// Allows for credit that accrues during the round trips, and for credit
+    /// that may be in transit to requests that wait elsewhere.
+    pub(super) fn check_refusal(&mut self, tokens: u64) {
         let rate = self.settings.limits.rate();
-        let patience = u64::try_from(self.settings.patience.as_millis()).unwrap_or(0);
-        let slack = rate * patience / 1_000 + self.settings.slack;
+        let max_wait = u64::try_from(self.settings.max_wait.as_millis()).unwrap_or(0);
+        let slack = rate * max_wait / 1_000 + self.settings.slack;
         let elsewhere: u64 = self.waiting.values().sum();
-        let needed = u32::try_from(tokens + slack + elsewhere).expect("numbers are small");
+        let needed = u32::try_from(tokens + slack + elsewhere).expect("the value fits in u32");
         if self.checker.level(self.now) >= f64::from(needed) {
-            self.wrongful += 1;
+            self.wrong_refusals += 1;
         }
     }
 
-    /// Ends a request; slots are free again, tokens stay used.
+    /// Ends a request. Slots become free again; used tokens stay used.
     pub(super) fn settle(&mut self, index: usize, used: u64) {
         let is_slots = self.settings.limits.refill == Refill::OnReturn;
         let used = if is_slots { 0 } else { used };
         self.checker.settle(self.now, index, used);
     }
 
-    /// Ends what a router holds slots for when their lease has run out.
-    pub(super) fn end_unleased(&mut self, c: usize, r: usize) {
+    /// Ends requests whose slots are no longer leased.
+    pub(super) fn end_expired(&mut self, c: usize, r: usize) {
         let router = &mut self.cells[c].routers[r];
         let now = router.clock.now(self.now);
         if self.settings.limits.refill != Refill::OnReturn {
@@ -196,10 +197,10 @@
         }
         let budget = router.admission.budget();
         let is_over = |c: &Charge| !budget.is_leased(now, c);
-        let over: Vec<_> = router.open.iter().filter(|(_, c)| is_over(c)).collect();
+        let over: Vec<_> = router.active.iter().filter(|(_, c)| is_over(c)).collect();
         let over: Vec<_> = over.into_iter().map(|(i, c)| (*i, *c)).collect();
         for (index, charge) in over {
-            router.open.remove(&index);
+            router.active.remove(&index);
             router.admission.settle(now, charge, 0);
             self.checker.settle(self.now, index, 0);
         }
@@ -211,7 +212,7 @@
         self.events.insert(self.sequence, event);
     }
 
-    pub(super) fn post<F>(&mut self, from: Place, to: Place, event: F)
+    pub(super) fn post<F>(&mut self, from: Node, to: Node, event: F)
     where
         F: Fn() -> Event,
     {
@@ -220,11 +221,11 @@
         }
     }
 
-    /// Runs until a moment, checking the total on the way.
+    /// Runs until `end` and checks the total at regular intervals.
     pub(crate) fn run_until(&mut self, end: Time) -> Result<(), String> {
         loop {
             let next = self.queue.peek().map(|Reverse((at, _))| *at);
-            let tick = self.ticked + TICK;
+            let tick = self.last_tick + TICK;
             let at = next.map_or(tick, |n| n.min(tick)).max(self.now);
             if at > end {
                 self.now = end;
@@ -235,14 +236,14 @@
                 let Some(Reverse((_, id))) = self.queue.pop() else {
                     continue;
                 };
-                let event = self.events.remove(&id).expect("it was scheduled");
+                let event = self.events.remove(&id).expect("the event is scheduled");
                 self.event(event);
             } else {
-                self.ticked = at;
+                self.last_tick = at;
                 self.tick();
             }
-            if self.now >= self.checked + CHECK {
-                self.checked = self.now;
+            if self.now >= self.last_check + CHECK {
+                self.last_check = self.now;
                 self.check()?;
             }
         }
@@ -253,17 +254,17 @@
     }
 
     pub(super) fn tick(&mut self) {
-        self.pump_owner();
-        self.wake();
+        self.poll_owner();
+        self.notify_recalled();
         for c in 0..self.cells.len() {
-            self.pump_centre(c);
+            self.poll_centre(c);
             for r in 0..self.cells[c].routers.len() {
-                self.pump_router(c, r);
+                self.poll_router(c, r);
             }
         }
     }
 
-    pub(super) fn pump_owner(&mut self) {
+    pub(super) fn poll_owner(&mut self) {
         let Some(owner) = &mut self.owner else {
             return;
         };
@@ -271,7 +272,7 @@
         owner.lender.tick(now);
         let watermark = owner.lender.propose(now);
         if let Some(mut watermark) = watermark {
-            if self.settings.plant == Plant::ShareBeforeRelease {
+            if self.settings.injected_fault == InjectedFault::ShareBeforeRelease {
                 watermark
                     .shares
                     .values_mut()
@@ -282,26 +283,26 @@
         }
     }
 
-    /// Tells borrowers that they were asked to return credit.
-    pub(super) fn wake(&mut self) {
+    /// Notifies borrowers from which credit is recalled.
+    pub(super) fn notify_recalled(&mut self) {
         let owner = self.owner.as_ref();
         let recalled = owner.map(|o| o.lender.recalled().map(index).collect());
         let recalled: Vec<usize> = recalled.unwrap_or_default();
         for c in recalled {
-            self.post(Place::Owner, Place::Centre(c), || Event::WakeCentre(c));
+            self.post(Node::Owner, Node::Centre(c), || Event::RecallCentre(c));
         }
         for c in 0..self.cells.len() {
             let centre = self.cells[c].centre.as_ref();
             let recalled = centre.map(|x| x.recalled().map(index).collect());
             let recalled: Vec<usize> = recalled.unwrap_or_default();
             for r in recalled {
-                let (from, to) = (Place::Centre(c), Place::Router(c, r));
-                self.post(from, to, || Event::WakeRouter(c, r));
+                let (from, to) = (Node::Centre(c), Node::Router(c, r));
+                self.post(from, to, || Event::RecallRouter(c, r));
             }
         }
     }
 
-    pub(super) fn pump_centre(&mut self, c: usize) {
+    pub(super) fn poll_centre(&mut self, c: usize) {
         let cell = &mut self.cells[c];
         let clock = cell.routers[cell.leader].clock;
         let Some(centre) = &mut cell.centre else {
@@ -310,11 +311,11 @@
         let now = clock.now(self.now);
         centre.tick(now);
         if centre.is_due(now) {
-            self.ask_owner(c);
+            self.request_from_owner(c);
         }
     }
 
-    pub(super) fn ask_owner(&mut self, c: usize) {
+    pub(super) fn request_from_owner(&mut self, c: usize) {
         let cell = &mut self.cells[c];
         let now = cell.routers[cell.leader].clock.now(self.now);
         let term = cell.term;
@@ -322,36 +323,36 @@
             return;
         };
         let request = centre.borrow_request(now);
-        self.network.count(Place::Centre(c), &request);
-        self.post(Place::Centre(c), Place::Owner, || {
+        self.network.count(Node::Centre(c), &request);
+        self.post(Node::Centre(c), Node::Owner, || {
             Event::ToOwner(c, term, request.clone())
         });
     }
 
-    pub(super) fn pump_router(&mut self, c: usize, r: usize) {
+    pub(super) fn poll_router(&mut self, c: usize, r: usize) {
         let router = &mut self.cells[c].routers[r];
         let now = router.clock.now(self.now);
         router.admission.tick(now);
-        self.end_unleased(c, r);
+        self.end_expired(c, r);
         let router = &mut self.cells[c].routers[r];
         let mut decided = Vec::new();
         router.admission.poll(now, &mut decided);
         for (id, decision) in decided {
-            let tokens = self.waiting.remove(&id).expect("it waited");
+            let tokens = self.waiting.remove(&id).expect("the request is queued");
             self.decide(c, r, tokens, decision);
         }
         if self.cells[c].routers[r].admission.is_due(now) {
-            self.ask_leader(c, r);
+            self.request_from_leader(c, r);
         }
     }
 
-    pub(super) fn ask_leader(&mut self, c: usize, r: usize) {
+    pub(super) fn request_from_leader(&mut self, c: usize, r: usize) {
         let router = &mut self.cells[c].routers[r];
         let now = router.clock.now(self.now);
         let request = router.admission.borrow_request(now);
-        self.network.count(Place::Router(c, r), &request);
+        self.network.count(Node::Router(c, r), &request);
         let incarnation = router.incarnation;
-        self.post(Place::Router(c, r), Place::Centre(c), || {
+        self.post(Node::Router(c, r), Node::Centre(c), || {
             Event::ToLeader(c, r, incarnation, request.clone())
         });
     }
@@ -369,8 +370,8 @@
     Router {
         clock,
         incarnation,
-        admission: Admission::new(budget, settings.patience),
-        open: BTreeMap::new(),
+        admission: Admission::new(budget, settings.max_wait),
+        active: BTreeMap::new(),
     }
 }
 
