--- a/crates/sequoiawing_budget/src/admission.rs
+++ b/crates/sequoiawing_budget/src/admission.rs
@@ -1,165 +1,169 @@
-use crate::{Ask, Charge, Purse, Reply, Short};
+use crate::{BorrowRequest, Charge, ChargeError, Reply, RouterBudget};
 use sequoiawing_types::Time;
 use serde::Serialize;
 use std::{collections::VecDeque, time::Duration};
 
-/// What became of a request.
+/// The outcome of a request for credit.
 pub type Decision = Result<Charge, Denial>;
 
-/// Why a request was not charged, and when asking again may help.
+/// Why a request was not charged, with the time after which to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// The rate and burst are used up.
-    Spent(Duration),
-    /// No lender said in time whether there is credit.
-    Silent(Duration),
+    /// The rate and burst are exhausted.
+    Exhausted(Duration),
+    /// No lender replied in time whether there is credit.
+    Unavailable(Duration),
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Waiting {
+struct QueuedRequest {
     id: u64,
     tokens: u64,
     since: Time,
-    /// When a lender first answered while the request waited.
-    answered: Option<Time>,
+    /// When a lender first replied while the request was waiting.
+    #[serde(rename = "answered")]
+    first_reply: Option<Time>,
 }
 
 /// Admits the requests of one customer on one router.
 ///
-/// Requests that the purse does not cover wait in order for the round trip to
-/// the cell leader and the owner, for at most `patience`; when these do not
-/// answer, until the data centre lends by itself.
+/// Requests that exceed the local credit wait in a FIFO queue for the round
+/// trip to the cell leader and the owner, for at most `max_wait`. If no lender
+/// replies, they wait until the data centre lends autonomously.
 #[derive(Clone, Debug, Serialize)]
 pub struct Admission {
-    purse: Purse,
-    patience: Duration,
-    waiting: VecDeque<Waiting>,
+    #[serde(rename = "purse")]
+    budget: RouterBudget,
+    #[serde(rename = "patience")]
+    max_wait: Duration,
+    waiting: VecDeque<QueuedRequest>,
 }
 
 impl Admission {
-    /// Returns an admission without waiting requests.
-    pub fn new(purse: Purse, patience: Duration) -> Self {
+    /// Returns an admission with an empty queue.
+    pub fn new(budget: RouterBudget, max_wait: Duration) -> Self {
         Self {
-            purse,
-            patience,
+            budget,
+            max_wait,
             waiting: VecDeque::new(),
         }
     }
 
-    /// Returns the purse.
-    pub fn purse(&self) -> &Purse {
-        &self.purse
+    /// Returns the router's credit.
+    pub fn budget(&self) -> &RouterBudget {
+        &self.budget
     }
 
-    /// Sets the credit that is held beyond what requests need.
+    /// Sets the credit to hold beyond what requests need.
     pub fn set_reserve(&mut self, reserve: u64) {
-        self.purse.set_reserve(reserve);
+        self.budget.set_reserve(reserve);
     }
 
-    /// Decides about a request, or keeps it waiting until [`Self::poll`]
-    /// returns its `id`.
+    /// Decides on a request, or queues it until [`Self::poll`] returns its
+    /// `id`.
     pub fn request(&mut self, now: Time, id: u64, tokens: u64) -> Option<Decision> {
         if self.waiting.is_empty() {
-            match self.purse.reserve(now, tokens) {
+            match self.budget.charge(now, tokens) {
                 Ok(charge) => return Some(Ok(charge)),
-                Err(Short::Refused(retry)) => return Some(Err(Denial::Spent(retry))),
-                Err(Short::Ask) => {}
+                Err(ChargeError::Refused(retry)) => return Some(Err(Denial::Exhausted(retry))),
+                Err(ChargeError::AskLender) => {}
             }
         }
         let since = now;
-        self.waiting.push_back(Waiting {
+        self.waiting.push_back(QueuedRequest {
             id,
             tokens,
             since,
-            answered: None,
+            first_reply: None,
         });
-        self.count();
+        self.update_need();
         None
     }
 
-    /// Forgets a request whose caller has left.
+    /// Removes a request from the queue after its caller disconnected.
     pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|w| w.id != id);
-        self.count();
+        self.update_need();
     }
 
-    /// Decides about the requests that waited.
+    /// Appends to `out` the queued requests that can be decided now.
     pub fn poll(&mut self, now: Time, out: &mut Vec<(u64, Decision)>) {
-        let answered = self.purse.answered();
-        for one in &mut self.waiting {
-            if one.answered.is_none() && answered >= one.since {
-                one.answered = Some(answered);
+        let answered = self.budget.last_answer();
+        for queued in &mut self.waiting {
+            if queued.first_reply.is_none() && answered >= queued.since {
+                queued.first_reply = Some(answered);
             }
         }
         while let Some(first) = self.waiting.front() {
-            let decision = match self.purse.reserve(now, first.tokens) {
+            let decision = match self.budget.charge(now, first.tokens) {
                 Ok(charge) => Ok(charge),
-                Err(Short::Refused(retry)) => Err(Denial::Spent(retry)),
-                Err(Short::Ask) if self.is_over(now, first) => Err(self.denial(first)),
-                Err(Short::Ask) => break,
+                Err(ChargeError::Refused(retry)) => Err(Denial::Exhausted(retry)),
+                Err(ChargeError::AskLender) if self.is_over(now, first) => Err(self.denial(first)),
+                Err(ChargeError::AskLender) => break,
             };
             out.push((first.id, decision));
             self.waiting.pop_front();
         }
-        self.count();
+        self.update_need();
     }
 
-    /// Reports whether a request has waited long enough: for `patience` when
-    /// lenders answer, or else until the data centre lends by itself.
-    fn is_over(&self, now: Time, waiting: &Waiting) -> bool {
-        match waiting.answered {
-            Some(answered) => now >= answered + self.patience,
-            None => now >= waiting.since + self.patience.max(self.purse.silence()),
+    /// Returns whether a request has timed out: after `max_wait` if a lender
+    /// has replied, otherwise when the data centre should have started to lend
+    /// autonomously.
+    fn is_over(&self, now: Time, queued: &QueuedRequest) -> bool {
+        match queued.first_reply {
+            Some(answered) => now >= answered + self.max_wait,
+            None => now >= queued.since + self.max_wait.max(self.budget.max_silence()),
         }
     }
 
-    /// Tells why a request that has waited long enough was not charged.
-    fn denial(&self, waiting: &Waiting) -> Denial {
-        if self.purse.unmet() >= waiting.since {
-            Denial::Spent(self.patience)
+    /// Returns why a request that timed out was not charged.
+    fn denial(&self, queued: &QueuedRequest) -> Denial {
+        if self.budget.last_unmet() >= queued.since {
+            Denial::Exhausted(self.max_wait)
         } else {
-            Denial::Silent(self.patience)
+            Denial::Unavailable(self.max_wait)
         }
     }
 
-    /// Gives back what a request did not use.
+    /// Refunds the credit that a request did not use.
     pub fn settle(&mut self, now: Time, charge: Charge, used: u64) {
-        self.purse.settle(now, charge, used);
+        self.budget.settle(now, charge, used);
     }
 
-    /// Lets time pass.
+    /// Advances the time to `now`.
     pub fn tick(&mut self, now: Time) {
-        self.purse.tick(now);
+        self.budget.tick(now);
     }
 
-    /// Reports whether the cell leader should be asked now.
+    /// Returns whether a request to the cell leader is due.
     pub fn is_due(&self, now: Time) -> bool {
-        self.purse.is_due(now)
+        self.budget.is_due(now)
     }
 
-    /// Has the cell leader asked at once.
-    pub fn poke(&mut self) {
-        self.purse.poke();
+    /// Makes a request to the cell leader due at once.
+    pub fn mark_due(&mut self) {
+        self.budget.mark_due();
     }
 
-    /// Reports whether requests wait.
+    /// Returns whether requests are queued.
     pub fn is_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Returns the message to the cell leader.
-    pub fn ask(&mut self, now: Time) -> Ask {
-        self.purse.ask(now)
+    /// Returns the next request to the cell leader.
+    pub fn borrow_request(&mut self, now: Time) -> BorrowRequest {
+        self.budget.borrow_request(now)
     }
 
-    /// Takes in the cell leader's reply.
-    pub fn hear(&mut self, now: Time, reply: &Reply) {
-        self.purse.hear(now, reply);
+    /// Processes a reply from the cell leader.
+    pub fn handle_reply(&mut self, now: Time, reply: &Reply) {
+        self.budget.handle_reply(now, reply);
     }
 
-    fn count(&mut self) {
+    fn update_need(&mut self) {
         let need = self.waiting.iter().map(|w| w.tokens).sum();
-        let head = self.waiting.front().map_or(0, |w| w.tokens);
-        self.purse.set_need(need, head);
+        let head_need = self.waiting.front().map_or(0, |w| w.tokens);
+        self.budget.set_need(need, head_need);
     }
 }
--- a/crates/sequoiawing_budget/src/bucket.rs
+++ b/crates/sequoiawing_budget/src/bucket.rs
@@ -2,18 +2,21 @@
 use sequoiawing_types::Time;
 use serde::{Deserialize, Serialize};
 
-/// When credit was spent, in terms of the bucket that it came from.
+/// Records the state of the bucket from which credit was spent.
 ///
-/// A refund is worth less the more has accrued at the cap since then; see
-/// [docs/design/budgets.md](../../../docs/design/budgets.md).
+/// Credit that accrues while the bucket is full reduces the value of later
+/// refunds. See [docs/design/budgets.md](../../../docs/design/budgets.md).
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Tag {
-    /// The period in which one bucket counted.
-    pub regime: u64,
-    /// How often every refund was forfeited.
+    /// The number of the bucket. It changes when another lender takes over and
+    /// when a data centre starts to accrue autonomously.
+    #[serde(rename = "regime")]
+    pub generation: u64,
+    /// How many times all outstanding refunds were forfeited.
     pub episode: u64,
-    /// The part of a refund that is not forfeited, against `FULL_INDEX`.
+    /// The fraction of a refund that is not forfeited, relative to
+    /// `FULL_INDEX`.
     pub index: u64,
 }
 
@@ -21,26 +24,27 @@
 const FULL_INDEX: u64 = 1 << 40;
 
 /// The index below which an episode ends.
-const LEAST_INDEX: u64 = 1 << 20;
+const MIN_INDEX: u64 = 1 << 20;
 
-/// Shares of a rate accrue in millionths of tokens a microsecond.
-const FRACTION: u128 = 1_000_000_000_000;
+/// The units of `Bucket::fraction` in one token: rates are per second, time is
+/// in microseconds and shares are in millionths.
+const UNITS_PER_TOKEN: u128 = 1_000_000_000_000;
 
-/// The credit that nobody holds.
+/// A token bucket: the credit that is not lent to anyone.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Bucket {
     balance: u64,
     fraction: u64,
     updated: Time,
-    /// The most that may still be refunded of what was spent.
+    /// The maximum that may still be refunded of the spent tokens.
     refundable: u64,
     tag: Tag,
 }
 
 impl Bucket {
-    pub(crate) fn new(now: Time, regime: u64, balance: u64) -> Self {
+    pub(crate) fn new(now: Time, generation: u64, balance: u64) -> Self {
         let tag = Tag {
-            regime,
+            generation,
             episode: 0,
             index: FULL_INDEX,
         };
@@ -61,12 +65,12 @@
         self.tag
     }
 
-    /// Passes on the tag of the bucket that credit is borrowed from.
+    /// Adopts the tag of the bucket that the credit is borrowed from.
     pub(crate) fn set_tag(&mut self, tag: Tag) {
         self.tag = tag;
     }
 
-    /// Lets credit accrue at a share of the rate, up to `cap`.
+    /// Accrues credit at a share of the rate, up to `cap`.
     pub(crate) fn fill(&mut self, now: Time, limits: &Limits, share: Share, cap: u64) {
         let rate = match limits.refill {
             Refill::PerSecond(rate) => rate,
@@ -77,36 +81,37 @@
         };
         let micros = now.since(self.updated).as_micros();
         self.updated = self.updated.max(now);
-        let earned =
+        let accrued =
             u128::from(rate) * u128::from(share.millionths()) * micros + u128::from(self.fraction);
-        self.fraction = u64::try_from(earned % FRACTION).unwrap_or(0);
-        let earned = u64::try_from(earned / FRACTION).unwrap_or(u64::MAX);
-        self.balance = self.balance.saturating_add(earned).min(cap);
+        self.fraction = u64::try_from(accrued % UNITS_PER_TOKEN).unwrap_or(0);
+        let accrued = u64::try_from(accrued / UNITS_PER_TOKEN).unwrap_or(u64::MAX);
+        self.balance = self.balance.saturating_add(accrued).min(cap);
         self.forfeit(cap - self.balance);
     }
 
-    /// Keeps balance and possible refunds together within the cap.
+    /// Reduces possible refunds to `room`, so that the balance and all refunds
+    /// together stay within the cap.
     fn forfeit(&mut self, room: u64) {
         if self.refundable <= room {
             return;
         }
         self.tag.index = scale(self.tag.index, room, self.refundable);
         self.refundable = room;
-        if self.tag.index < LEAST_INDEX {
+        if self.tag.index < MIN_INDEX {
             self.refundable = 0;
             self.tag.episode += 1;
             self.tag.index = FULL_INDEX;
         }
     }
 
-    /// Takes up to `tokens` and returns how many were there.
+    /// Takes up to `tokens` and returns how many were taken.
     pub(crate) fn take(&mut self, tokens: u64) -> u64 {
         let taken = tokens.min(self.balance);
         self.balance -= taken;
         taken
     }
 
-    /// Puts back tokens that were taken and not spent.
+    /// Returns tokens to the bucket that were taken but not spent.
     pub(crate) fn put(&mut self, tokens: u64) {
         self.balance = self.balance.saturating_add(tokens);
     }
@@ -116,24 +121,25 @@
         self.balance = self.balance.min(cap);
     }
 
-    /// Notes tokens that were taken and are now spent.
+    /// Records that tokens taken earlier were spent.
     pub(crate) fn spend(&mut self, tokens: u64, tag: Tag) {
-        self.refundable += self.worth(tokens, tag);
+        self.refundable += self.refund_value(tokens, tag);
     }
 
-    /// Takes back the unused part of a charge, as far as the bucket would hold
-    /// it had it never been spent, and returns how much that was.
+    /// Refunds the unused part of a charge and returns the refunded amount.
+    ///
+    /// Refunds only what the bucket would hold now if it had never been spent.
     pub(crate) fn refund(&mut self, charged: u64, unused: u64, tag: Tag) -> u64 {
-        let worth = self.worth(charged, tag).min(self.refundable);
-        self.refundable -= worth;
-        let refund = unused.min(worth);
+        let refund_value = self.refund_value(charged, tag).min(self.refundable);
+        self.refundable -= refund_value;
+        let refund = unused.min(refund_value);
         self.balance = self.balance.saturating_add(refund);
         refund
     }
 
-    /// Returns what a charge could be refunded by now.
-    fn worth(&self, tokens: u64, tag: Tag) -> u64 {
-        if (tag.regime, tag.episode) != (self.tag.regime, self.tag.episode) {
+    /// Returns the maximum refund that a charge is still worth.
+    fn refund_value(&self, tokens: u64, tag: Tag) -> u64 {
+        if (tag.generation, tag.episode) != (self.tag.generation, self.tag.episode) {
             return 0;
         }
         scale(tokens, self.tag.index, tag.index).min(tokens)
--- a/crates/sequoiawing_budget/src/lib.rs
+++ b/crates/sequoiawing_budget/src/lib.rs
@@ -1,31 +1,32 @@
-//! Totals that must not be exceeded across hosts: customer tokens, load starts
-//! and slots in flight.
+//! Distributed quotas: limits on customer tokens, load starts and slots in
+//! flight that all hosts together must not exceed.
 //!
-//! A [`Lender`] owns a total and lends credits under leases. The controller
-//! that leads the log runs one for each budget; the cell leader of a data
-//! centre borrows from it and lends on to its routers ([`Centre`]); each router
-//! spends from a [`Purse`]. All three are pure: they are told the time and each
-//! message. See [docs/design/budgets.md](../../../docs/design/budgets.md).
+//! A [`Lender`] owns a total and lends credit under leases. The controller that
+//! leads the log runs one lender per budget. The cell leader of a data centre
+//! borrows from it and lends to its routers ([`CentreBudget`]), and each router
+//! spends from a [`RouterBudget`]. All three are state machines without I/O:
+//! the caller passes in the time and each message. See
+//! [docs/design/budgets.md](../../../docs/design/budgets.md).
 
 mod admission;
 mod borrower;
 mod bucket;
-mod centre;
+mod centre_budget;
+mod centre_slots;
 mod journal;
 mod lender;
 mod limits;
 mod message;
-mod purse;
+mod router_budget;
 mod share;
-mod slots;
 
 pub use admission::{Admission, Decision, Denial};
 pub use bucket::Tag;
-pub use centre::Centre;
+pub use centre_budget::CentreBudget;
+pub use centre_slots::CentreSlots;
 pub use journal::{Entry, EntryKind};
 pub use lender::{AccountView, Lender, LenderView, Watermark};
 pub use limits::{Limits, Refill, Timing};
-pub use message::{Ask, Need, Reply};
-pub use purse::{Charge, Purse, Short};
+pub use message::{BorrowRequest, NeedStatus, Reply};
+pub use router_budget::{Charge, ChargeError, RouterBudget};
 pub use share::Share;
-pub use slots::Slots;
--- a/crates/sequoiawing_budget/tests/support/faults.rs
+++ b/crates/sequoiawing_budget/tests/support/faults.rs
@@ -1,36 +1,36 @@
 use super::{
-    Plant, World,
+    InjectedFault, World,
     clock::clock,
     world::{Owner, router},
 };
-use sequoiawing_budget::{Centre, Lender, Refill};
+use sequoiawing_budget::{CentreBudget, Lender, Refill};
 use std::time::Duration;
 
-/// What stops, starts and restarts.
+/// Stops, starts and restarts of processes.
 impl World {
-    /// Stops the owner; commands under way may or may not be committed.
+    /// Stops the owner. Pending commands may or may not be committed.
     pub(crate) fn stop_owner(&mut self) {
         self.owner = None;
     }
 
-    /// Starts a successor of the owner from the log.
+    /// Starts a successor of the owner with the state in the log.
     pub(crate) fn start_owner(&mut self) {
         self.term += 1;
         let clock = clock(&self.settings, &mut self.rng);
-        let mut mark = self.log.clone();
+        let mut watermark = self.log.clone();
         let limits = self.settings.limits;
         let mut timing = self.settings.timing;
-        match self.settings.plant {
-            Plant::WatermarkIgnored => {
-                if let Some(mark) = &mut mark {
-                    mark.floor = limits.burst;
+        match self.settings.injected_fault {
+            InjectedFault::WatermarkIgnored => {
+                if let Some(watermark) = &mut watermark {
+                    watermark.floor = limits.burst;
                 }
             }
-            Plant::AccrualNotStopped => timing.lease = Duration::from_hours(1),
+            InjectedFault::AccrualNotStopped => timing.lease = Duration::from_hours(1),
             _ => {}
         }
         let now = clock.now(self.now);
-        let lender = Lender::owner(now, self.term, limits, timing, mark);
+        let lender = Lender::owner(now, self.term, limits, timing, watermark);
         self.owner = Some(Owner { clock, lender });
     }
 
@@ -45,13 +45,13 @@
         cell.term += 1;
         let router = &cell.routers[r];
         let now = router.clock.now(self.now);
-        let share = router.admission.purse().share();
+        let share = router.admission.budget().share();
         let settings = &self.settings;
         let mut timing = settings.timing;
-        if settings.plant == Plant::LeaseNotWaited {
+        if settings.injected_fault == InjectedFault::LeaseNotWaited {
             timing.lease /= 10;
         }
-        let centre = Centre::new(now, cell.term, settings.limits, timing, share);
+        let centre = CentreBudget::new(now, cell.term, settings.limits, timing, share);
         cell.centre = Some(centre);
     }
 
@@ -63,16 +63,19 @@
         self.cells[c].centre.is_some()
     }
 
-    pub(crate) fn is_alone(&self, c: usize) -> bool {
-        self.cells[c].centre.as_ref().is_some_and(Centre::is_alone)
+    pub(crate) fn is_autonomous(&self, c: usize) -> bool {
+        self.cells[c]
+            .centre
+            .as_ref()
+            .is_some_and(CentreBudget::is_autonomous)
     }
 
     pub(crate) fn balance(&self) -> u64 {
         self.owner.as_ref().map_or(0, |o| o.lender.balance())
     }
 
-    /// Restarts a router, which forgets everything, and with it the leader of
-    /// the cell if it was there.
+    /// Restarts a router without its state. Stops the leader of the cell if it
+    /// ran on this router.
     pub(crate) fn restart_router(&mut self, c: usize, r: usize) {
         if self.cells[c].leader == r {
             self.stop_leader(c);
@@ -81,7 +84,7 @@
         let fresh = router(&self.settings, &mut self.rng, self.now, incarnation);
         let old = std::mem::replace(&mut self.cells[c].routers[r], fresh);
         if self.settings.limits.refill == Refill::OnReturn {
-            for index in old.open.into_keys() {
+            for index in old.active.into_keys() {
                 self.settle(index, 0);
             }
         }
