--- a/crates/sequoiawing_controller/examples/log_figures.rs
+++ b/crates/sequoiawing_controller/examples/log_figures.rs
@@ -1,6 +1,7 @@
-//! Prints what three controllers with synced disks on loopback achieve.
+//! Measures commit throughput, commit latency and failover of three local
+//! controllers that sync their writes.
 //!
-//! Run by hand, not in CI:
+//! Run manually; CI does not run it:
 //!
 //! ```text
 //! cargo build --release --bin sequoiawing-controller
@@ -24,23 +25,23 @@
 };
 
 const SECRET: &str = "secret-of-the-bench";
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(5);
-const SPAN: Duration = Duration::from_secs(5);
-const CHANGES: u64 = 10_000;
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const MEASURE_DURATION: Duration = Duration::from_secs(5);
+const EDITS: u64 = 10_000;
 const WRITERS: u64 = 50;
 const CUSTOMERS: u64 = 50;
 const CLOCK_TICKS: f64 = 100.0;
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-struct Trio {
+struct Cluster {
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
     children: Vec<Child>,
 }
 
-impl Trio {
+impl Cluster {
     fn start() -> Result<Self> {
         let name = format!("sequoiawing-figures-{}", std::process::id());
         let folder = std::env::temp_dir().join(name);
@@ -49,16 +50,16 @@
             (0..3).map(|_| TcpListener::bind("127.0.0.1:0")).collect();
         let addresses: std::io::Result<Vec<_>> =
             listeners?.iter().map(TcpListener::local_addr).collect();
-        let mut trio = Self {
+        let mut cluster = Self {
             folder,
             addresses: addresses?,
             children: Vec::new(),
         };
         for i in 0..3 {
-            let child = trio.spawn(i)?;
-            trio.children.push(child);
+            let child = cluster.spawn(i)?;
+            cluster.children.push(child);
         }
-        Ok(trio)
+        Ok(cluster)
     }
 
     fn spawn(&self, i: usize) -> Result<Child> {
@@ -73,7 +74,7 @@
         let example = std::env::current_exe()?;
         let target = example.parent().and_then(Path::parent);
         let program = target
-            .ok_or("no target folder")?
+            .ok_or("the target folder was not found")?
             .join("sequoiawing-controller");
         let child = Process::new(program)
             .arg(path)
@@ -90,33 +91,35 @@
     async fn status(&self, i: usize) -> Option<ControlStatus> {
         let stub = self.stub(i);
         let call = stub.call(
-            CALL_LIMIT,
+            CALL_TIMEOUT,
             |c, context| async move { c.status(context).await },
         );
         Box::pin(call).await.ok()
     }
 
-    async fn leader(&self, not: usize) -> usize {
+    async fn wait_for_leader(&self, excluded: usize) -> usize {
         loop {
-            for i in (0..3).filter(|i| *i != not) {
+            for i in (0..3).filter(|i| *i != excluded) {
                 if self.status(i).await.is_some_and(|s| s.role == "leader") {
                     return i;
                 }
             }
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn wait_for(&self, i: usize, revision: Revision) {
         while self.status(i).await.is_none_or(|s| s.revision < revision) {
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// The processor seconds that a controller has used.
-    fn cpu(&self, i: usize) -> Result<f64> {
+    /// Returns the CPU time that a controller has used, in seconds.
+    fn cpu_seconds(&self, i: usize) -> Result<f64> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.children[i].id()))?;
-        let (_, after) = stat.rsplit_once(')').ok_or("no name in stat")?;
+        let (_, after) = stat
+            .rsplit_once(')')
+            .ok_or("/proc/<pid>/stat has no process name")?;
         let fields: Vec<&str> = after.split_whitespace().collect();
         let ticks = |i: usize| fields[i].parse::<f64>();
         Ok((ticks(11)? + ticks(12)?) / CLOCK_TICKS)
@@ -129,7 +132,7 @@
     }
 }
 
-impl Drop for Trio {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for child in &mut self.children {
             child.kill().ok();
@@ -153,7 +156,7 @@
 
 async fn propose(stub: &Stub<ControlClient>, i: u64) -> Option<Revision> {
     let command = edit(i);
-    let call = stub.call(CALL_LIMIT, |c, context| async move {
+    let call = stub.call(CALL_TIMEOUT, |c, context| async move {
         c.propose(context, command).await
     });
     let answer: std::result::Result<Outcome, ControlError> = Box::pin(call).await.ok()?;
@@ -163,9 +166,9 @@
     }
 }
 
-/// Proposes one after the other until `end` and returns the times, in
+/// Proposes edits sequentially until `end`, and returns their latencies in
 /// microseconds.
-fn writer(stub: Stub<ControlClient>, end: Instant, first: u64) -> Task<Vec<u64>> {
+fn run_writer(stub: Stub<ControlClient>, end: Instant, first: u64) -> Task<Vec<u64>> {
     spawn(async move {
         let mut times = Vec::new();
         let mut i = first;
@@ -180,11 +183,11 @@
     })
 }
 
-async fn measure_commits(trio: &Trio, leader: usize, writers: u64) -> Result<()> {
-    let before: Result<Vec<f64>> = (0..3).map(|i| trio.cpu(i)).collect();
-    let end = Instant::now() + SPAN;
+async fn measure_commits(cluster: &Cluster, leader: usize, writers: u64) -> Result<()> {
+    let before: Result<Vec<f64>> = (0..3).map(|i| cluster.cpu_seconds(i)).collect();
+    let end = Instant::now() + MEASURE_DURATION;
     let tasks: Vec<_> = (0..writers)
-        .map(|w| writer(trio.stub(leader), end, w))
+        .map(|w| run_writer(cluster.stub(leader), end, w))
         .collect();
     let mut times = Histogram::<u64>::new(3)?;
     for task in tasks {
@@ -197,10 +200,10 @@
     let count = times.len() as f64;
     #[allow(clippy::cast_precision_loss)]
     let millis = |q: f64| times.value_at_quantile(q) as f64 / 1_000.0;
-    let used = (trio.cpu(follower)? - before?[follower]) / count;
+    let used = (cluster.cpu_seconds(follower)? - before?[follower]) / count;
     println!(
         "{writers:>8} {:>12.0} {:>10.2} {:>10.2} {:>22.0}",
-        count / SPAN.as_secs_f64(),
+        count / MEASURE_DURATION.as_secs_f64(),
         millis(0.5),
         millis(0.99),
         used * 1e6
@@ -208,16 +211,17 @@
     Ok(())
 }
 
-/// Makes the changes that a restart has to recover.
-async fn make_changes(trio: &Trio, leader: usize) -> Revision {
+/// Commits the edits that a restarted follower has to recover, and returns the
+/// last revision.
+async fn run_edits(cluster: &Cluster, leader: usize) -> Revision {
     let tasks: Vec<Task<Revision>> = (0..WRITERS)
         .map(|w| {
-            let stub = trio.stub(leader);
+            let stub = cluster.stub(leader);
             spawn(async move {
                 let mut last = Revision(0);
-                for i in 0..CHANGES / WRITERS {
-                    let made = propose(&stub, w + i).await;
-                    last = made.map_or(last, |r| r.max(last));
+                for i in 0..EDITS / WRITERS {
+                    let revision = propose(&stub, w + i).await;
+                    last = revision.map_or(last, |r| r.max(last));
                 }
                 last
             })
@@ -230,7 +234,7 @@
     last
 }
 
-/// Prints the bytes of one edit on its way to a follower.
+/// Prints the size of one edit when it is replicated to a follower.
 fn print_bytes() -> Result<()> {
     let command = serde_json::to_string(&edit(1))?;
     let bytes = command.len();
@@ -255,59 +259,70 @@
             round: 1_000_000,
         },
     };
-    let alone = serde_json::to_vec(&envelope)?.len();
-    println!("An edit has {bytes} bytes, as an entry {entry_bytes}, in a message alone {alone}.");
+    let message_bytes = serde_json::to_vec(&envelope)?.len();
+    println!(
+        "One edit: {bytes} bytes as a command, {entry_bytes} bytes as a log entry, {message_bytes} bytes in a message of its own."
+    );
     Ok(())
 }
 
 async fn measure() -> Result<()> {
-    let mut trio = Trio::start()?;
-    let leader = trio.leader(usize::MAX).await;
+    let mut cluster = Cluster::start()?;
+    let leader = cluster.wait_for_leader(usize::MAX).await;
     print_bytes()?;
     let follower = (leader + 1) % 3;
-    let before = trio.cpu(follower)?;
-    sleep(SPAN).await;
-    let used = (trio.cpu(follower)? - before) / SPAN.as_secs_f64();
-    println!("An idle follower uses {:.2} % of a core.", used * 100.0);
+    let before = cluster.cpu_seconds(follower)?;
+    sleep(MEASURE_DURATION).await;
+    let used = (cluster.cpu_seconds(follower)? - before) / MEASURE_DURATION.as_secs_f64();
     println!(
-        "Edits on three voters, synced, for {} s each:",
-        SPAN.as_secs()
+        "CPU usage of an idle follower: {:.2} % of a core.",
+        used * 100.0
+    );
+    println!(
+        "Synced edits on three voters, {} s per row:",
+        MEASURE_DURATION.as_secs()
     );
     println!(
         "{:>8} {:>12} {:>10} {:>10} {:>22}",
         "writers", "commits/s", "p50 ms", "p99 ms", "follower CPU us/change"
     );
     for writers in [1, 16, 64] {
-        measure_commits(&trio, leader, writers).await?;
+        measure_commits(&cluster, leader, writers).await?;
     }
-    let last = make_changes(&trio, leader).await;
+    let last = run_edits(&cluster, leader).await;
     let follower = (leader + 1) % 3;
-    trio.kill(follower)?;
+    cluster.kill(follower)?;
     let start = Instant::now();
-    trio.children[follower] = trio.spawn(follower)?;
-    trio.wait_for(follower, last).await;
-    println!("A follower recovers at {last} in {:?}.", start.elapsed());
+    cluster.children[follower] = cluster.spawn(follower)?;
+    cluster.wait_for(follower, last).await;
+    println!(
+        "A restarted follower caught up to {last} in {:?}.",
+        start.elapsed()
+    );
     for _ in 0..5 {
-        let leader = trio.leader(usize::MAX).await;
-        trio.kill(leader)?;
+        let leader = cluster.wait_for_leader(usize::MAX).await;
+        cluster.kill(leader)?;
         let start = Instant::now();
-        trio.leader(leader).await;
-        println!("A killed leader is replaced in {:?}.", start.elapsed());
-        trio.children[leader] = trio.spawn(leader)?;
+        cluster.wait_for_leader(leader).await;
+        println!(
+            "Failover after the leader was killed: {:?}.",
+            start.elapsed()
+        );
+        cluster.children[leader] = cluster.spawn(leader)?;
         sleep(Duration::from_secs(2)).await;
     }
     for _ in 0..5 {
-        let leader = trio.leader(usize::MAX).await;
-        let id = trio.children[leader].id().to_string();
+        let leader = cluster.wait_for_leader(usize::MAX).await;
+        let id = cluster.children[leader].id().to_string();
         let start = Instant::now();
         Process::new("kill").arg(id).status()?;
-        trio.leader(leader).await;
+        cluster.wait_for_leader(leader).await;
         println!(
-            "A leader that is stopped is replaced in {:?}.",
+            "Failover after the leader was stopped with SIGTERM: {:?}.",
             start.elapsed()
         );
-        trio.children[leader].wait()?;
-        trio.children[leader] = trio.spawn(leader)?;
+        cluster.children[leader].wait()?;
+        cluster.children[leader] = cluster.spawn(leader)?;
         sleep(Duration::from_secs(2)).await;
     }
     Ok(())
--- a/crates/sequoiawing_controller/src/budgets.rs
+++ b/crates/sequoiawing_controller/src/budgets.rs
@@ -1,4 +1,4 @@
-//! The owner of all budgets, on the controller that leads the log.
+//! The budgets of the deployment, owned by the controller that leads the log.
 
 use crate::ControllerHandle;
 use parking_lot::Mutex;
@@ -13,15 +13,15 @@
     time::Duration,
 };
 
-/// How often leases, shares and watermarks are looked at.
-const INTERVAL: Duration = Duration::from_millis(20);
+/// How often leadership, limits, shares and watermarks are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The budgets of one term.
-struct Owned {
+/// The budgets that a leader owns during one term.
+struct OwnedBudgets {
     term: u64,
     lenders: BTreeMap<Name, Lender>,
-    /// What predecessors committed.
-    former: BTreeMap<Name, Watermark>,
+    /// The watermarks that earlier leaders committed.
+    committed_marks: BTreeMap<Name, Watermark>,
     revision: Revision,
     is_proposing: bool,
 }
@@ -29,9 +29,9 @@
 struct Inner {
     handle: ControllerHandle,
     clock: Clock,
-    owned: Mutex<Option<Owned>>,
-    /// Counts the messages after which a recall may be due.
-    recalls: Watch<u64>,
+    owned: Mutex<Option<OwnedBudgets>>,
+    /// A counter of batches from borrowers, each of which may cause a recall.
+    batch_count: Watch<u64>,
 }
 
 /// Lends the budgets while this controller leads; see
@@ -42,29 +42,29 @@
 }
 
 impl Budgets {
-    /// Starts the owner's part of a controller.
+    /// Starts the budget owner of a controller.
     pub(crate) fn start(handle: ControllerHandle, shutdown: Shutdown) -> Self {
         let inner = Arc::new(Inner {
             handle,
             clock: Clock::start(),
             owned: Mutex::new(None),
-            recalls: Watch::default(),
+            batch_count: Watch::default(),
         });
         let budgets = Self { inner };
-        let ticking = budgets.clone();
+        let ticker = budgets.clone();
         spawn(async move {
-            while shutdown.or(sleep(INTERVAL)).await.is_some() {
-                ticking.tick().await;
+            while shutdown.or(sleep(TICK_INTERVAL)).await.is_some() {
+                ticker.tick().await;
             }
         })
         .detach();
         budgets
     }
 
-    /// Lends to a data centre; returns nothing when this controller does not
-    /// lead.
+    /// Handles a batch of requests from a data centre. Returns `None` if this
+    /// controller does not lead.
     pub(crate) async fn lend(&self, batch: BudgetBatch) -> BudgetReplies {
-        let term = self.own().await?;
+        let term = self.ensure_ownership().await?;
         let tables = self.inner.handle.tables();
         let mut replies = Vec::new();
         {
@@ -72,32 +72,33 @@
             let owned = owned.as_mut().filter(|o| o.term == term)?;
             let now = self.now();
             for (budget, ask) in batch.asks {
-                let reply = owned.answer(now, &tables, &budget, &batch.borrower, &ask);
+                let reply = owned.reply_to(now, &tables, &budget, &batch.borrower, &ask);
                 replies.extend(reply.map(|r| (budget, r)));
             }
         }
         self.propose();
-        self.inner.recalls.set(self.inner.recalls.get() + 1);
-        // What was decided counts only if the lease was still running then.
+        self.inner.batch_count.set(self.inner.batch_count.get() + 1);
+        // The replies are valid only if the lease has not expired in the meantime.
         self.term().filter(|t| *t == term)?;
         Some(replies)
     }
 
-    /// Waits until a data centre has to return credit.
+    /// Waits at most `wait` until a data centre has to return credit, and returns the
+    /// budgets concerned.
     pub(crate) async fn recalled(&self, centre: &Name, wait: Duration) -> Vec<Name> {
-        let is_due = |_: &u64| !self.recalled_now(centre).is_empty();
-        timeout(wait, self.inner.recalls.wait_until(is_due)).await;
-        self.recalled_now(centre)
+        let is_due = |_: &u64| !self.pending_recalls(centre).is_empty();
+        timeout(wait, self.inner.batch_count.wait_until(is_due)).await;
+        self.pending_recalls(centre)
     }
 
-    fn recalled_now(&self, centre: &Name) -> Vec<Name> {
+    fn pending_recalls(&self, centre: &Name) -> Vec<Name> {
         let owned = self.inner.owned.lock();
         let lenders = owned.iter().flat_map(|o| &o.lenders);
         let recalled = lenders.filter(|(_, l)| l.recalled().any(|c| c == centre));
         recalled.map(|(budget, _)| budget.clone()).collect()
     }
 
-    /// Returns the budgets; nothing when this controller does not lead.
+    /// Returns the budgets, or `None` if this controller does not lead.
     pub(crate) fn view(&self) -> Option<BTreeMap<Name, LenderView>> {
         let term = self.term()?;
         let owned = self.inner.owned.lock();
@@ -107,7 +108,7 @@
         Some(views.collect())
     }
 
-    /// Returns the budgets as JSON, for the dump.
+    /// Returns the internal state of the budgets as JSON.
     pub(crate) fn dump(&self) -> serde_json::Value {
         let owned = self.inner.owned.lock();
         let lenders = owned.as_ref().map(|o| &o.lenders);
@@ -115,7 +116,7 @@
     }
 
     async fn tick(&self) {
-        if self.own().await.is_none() {
+        if self.ensure_ownership().await.is_none() {
             *self.inner.owned.lock() = None;
             return;
         }
@@ -134,31 +135,33 @@
         self.inner.handle.leadership().map(|l| l.term)
     }
 
-    /// Takes the budgets over when this controller has begun to lead.
-    async fn own(&self) -> Option<u64> {
+    /// Takes ownership of the budgets if this controller has become leader, and
+    /// returns its term.
+    async fn ensure_ownership(&self) -> Option<u64> {
         let term = self.term()?;
-        let is_owner = |o: &Option<Owned>| o.as_ref().is_some_and(|o| o.term == term);
+        let is_owner = |o: &Option<OwnedBudgets>| o.as_ref().is_some_and(|o| o.term == term);
         if is_owner(&self.inner.owned.lock()) {
             return Some(term);
         }
-        // A read confirms the lease, and holds all that predecessors committed.
+        // A linearizable read confirms the lease and includes every watermark that
+        // earlier leaders committed.
         let tables = self.inner.handle.read().await.ok()?;
         self.term().filter(|t| *t == term)?;
         let mut owned = self.inner.owned.lock();
         if !is_owner(&owned) {
-            log::info!(target: "budgets", "Lending budgets in term {term}.");
-            *owned = Some(Owned::new(self.now(), term, &tables));
+            log::info!(target: "budgets", "Took ownership of all budgets in term {term}.");
+            *owned = Some(OwnedBudgets::new(self.now(), term, &tables));
         }
         Some(term)
     }
 
-    /// Commits the watermarks that are due, one batch at a time.
+    /// Proposes the watermarks that are due, one batch at a time.
     fn propose(&self) {
         let mut owned = self.inner.owned.lock();
         let Some(owned) = owned.as_mut().filter(|o| !o.is_proposing) else {
             return;
         };
-        let marks = owned.marks(self.now());
+        let marks = owned.propose_marks(self.now());
         if marks.is_empty() {
             return;
         }
@@ -172,12 +175,12 @@
             };
             let outcome = budgets.inner.handle.propose(&command).await;
             let is_committed = matches!(outcome, Ok(Outcome::Marked(true)));
-            budgets.proposed(term, &marks, is_committed);
+            budgets.handle_outcome(term, &marks, is_committed);
         })
         .detach();
     }
 
-    fn proposed(&self, term: u64, marks: &BTreeMap<Name, Watermark>, is_committed: bool) {
+    fn handle_outcome(&self, term: u64, marks: &BTreeMap<Name, Watermark>, is_committed: bool) {
         let now = self.now();
         let mut owned = self.inner.owned.lock();
         let Some(owned) = owned.as_mut().filter(|o| o.term == term) else {
@@ -197,24 +200,24 @@
     }
 }
 
-/// What operators want of one budget.
-struct Planned<'t> {
+/// The configuration of one budget.
+struct BudgetConfig<'t> {
     name: Name,
     limits: Limits,
     timing: Timing,
     shares: &'t BTreeMap<Name, Share>,
 }
 
-/// Returns the budgets of customers and of the weight store.
-fn planned(tables: &Tables) -> impl Iterator<Item = Planned<'_>> {
-    let customers = tables.customers.values().map(|customer| Planned {
+/// Returns the configured budgets of the customers and of the weight store.
+fn budget_configs(tables: &Tables) -> impl Iterator<Item = BudgetConfig<'_>> {
+    let customers = tables.customers.values().map(|customer| BudgetConfig {
         name: customer.name.clone(),
         limits: customer.limits(),
         timing: Timing::default(),
         shares: &customer.shares,
     });
     let store = tables.store.budgets().into_iter();
-    let store = store.map(|(name, limits, timing)| Planned {
+    let store = store.map(|(name, limits, timing)| BudgetConfig {
         name,
         limits,
         timing,
@@ -223,12 +226,12 @@
     customers.chain(store)
 }
 
-impl Owned {
+impl OwnedBudgets {
     fn new(now: Time, term: u64, tables: &Tables) -> Self {
         let mut owned = Self {
             term,
             lenders: BTreeMap::new(),
-            former: tables.budgets().clone(),
+            committed_marks: tables.budgets().clone(),
             revision: Revision::default(),
             is_proposing: false,
         };
@@ -236,36 +239,36 @@
         owned
     }
 
-    fn add(&mut self, now: Time, planned: &Planned<'_>) {
-        let mark = self.former.get(&planned.name).cloned();
-        let lender = Lender::owner(now, self.term, planned.limits, planned.timing, mark);
-        self.lenders.insert(planned.name.clone(), lender);
+    fn add_lender(&mut self, now: Time, config: &BudgetConfig<'_>) {
+        let mark = self.committed_marks.get(&config.name).cloned();
+        let lender = Lender::owner(now, self.term, config.limits, config.timing, mark);
+        self.lenders.insert(config.name.clone(), lender);
     }
 
-    /// Takes in what operators changed.
+    /// Applies configuration changes to the lenders.
     fn configure(&mut self, now: Time, tables: &Tables) {
         if self.revision == tables.revision && !self.lenders.is_empty() {
             return;
         }
         self.revision = tables.revision;
         let centres: BTreeSet<&Name> = tables.hosts.values().map(|h| &h.centre).collect();
-        for planned in planned(tables) {
-            // A customer that was deleted keeps its lender, and so its
-            // watermark, for the rest of the term.
-            if !self.lenders.contains_key(&planned.name) {
-                self.add(now, &planned);
+        for config in budget_configs(tables) {
+            // The lender of a deleted customer, and with it the watermark, is
+            // kept until the end of the term.
+            if !self.lenders.contains_key(&config.name) {
+                self.add_lender(now, &config);
             }
-            let Some(lender) = self.lenders.get_mut(&planned.name) else {
+            let Some(lender) = self.lenders.get_mut(&config.name) else {
                 continue;
             };
-            if lender.limits() != planned.limits {
-                lender.set_limits(now, planned.limits);
+            if lender.limits() != config.limits {
+                lender.set_limits(now, config.limits);
             }
-            lender.set_holding(planned.timing.holding);
+            lender.set_holding(config.timing.holding);
             let shares = centres.iter().map(|c| {
                 let equal = Share::equal(centres.len());
-                let own = planned.shares.get(*c).copied();
-                let has_own = !planned.shares.is_empty();
+                let own = config.shares.get(*c).copied();
+                let has_own = !config.shares.is_empty();
                 let share = if has_own {
                     own.unwrap_or_default()
                 } else {
@@ -277,7 +280,7 @@
         }
     }
 
-    fn answer(
+    fn reply_to(
         &mut self,
         now: Time,
         tables: &Tables,
@@ -290,7 +293,7 @@
         Some(lender.handle(now, centre, ask))
     }
 
-    fn marks(&mut self, now: Time) -> BTreeMap<Name, Watermark> {
+    fn propose_marks(&mut self, now: Time) -> BTreeMap<Name, Watermark> {
         let lenders = self.lenders.iter_mut();
         let marks = lenders.filter_map(|(name, l)| Some((name.clone(), l.propose(now)?)));
         marks.collect()
--- a/crates/sequoiawing_controller/src/core.rs
+++ b/crates/sequoiawing_controller/src/core.rs
@@ -1,8 +1,8 @@
 use crate::{
     ControllerHandle, ControllerSettings, Leadership,
-    applied::Applied,
-    call::{Answer, Call, Caller, Report},
-    outbox::Outbox,
+    request::{PendingRequest, ReplySender, Request, StorageEvent},
+    state_machine::StateMachine,
+    transport::Transport,
     writer::Job,
 };
 use async_channel::{Receiver, Sender};
@@ -21,54 +21,55 @@
     time::Duration,
 };
 
-/// How often the replica is told that time has passed.
-const TICK: Duration = Duration::from_millis(20);
+/// How often the replica gets a tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long the controller waits before it tries a failed storage again.
-const RELOAD_PAUSE: Duration = Duration::from_secs(1);
+/// The delay before a failed storage is loaded again.
+const RELOAD_DELAY: Duration = Duration::from_secs(1);
 
-/// The calls and reports that are taken in before what follows from them is
-/// shown.
+/// The maximum number of queued inputs handled before the resulting state is
+/// published.
 const MAX_BATCH: usize = 1_024;
 
-/// How far a lease must move on before those who watch it are told.
-const LEASE_STEP: Duration = Duration::from_millis(50);
+/// The minimum extension of a lease that is published to its watchers.
+const MIN_LEASE_EXTENSION: Duration = Duration::from_millis(50);
 
-/// A message that waits until a write is on the disk.
-struct Held {
+/// A message that must not be sent before a write is durable.
+struct DeferredMessage {
     after: u64,
     to: ReplicaId,
     message: Message,
 }
 
-/// Drives one replica: feeds it calls, reports and time, and carries out what it
-/// wants.
+/// Drives one replica: passes it requests, storage events and ticks, and runs the
+/// actions that it returns.
 pub(crate) struct Core {
     settings: ReplicaSettings,
     hosts: HashMap<Name, SocketAddr>,
-    /// Where replicas that sent something take messages.
-    senders: HashMap<ReplicaId, SocketAddr>,
+    /// The addresses given in the latest messages from replicas.
+    peer_addresses: HashMap<ReplicaId, SocketAddr>,
     clock: Clock,
     replica: Replica,
-    applied: Applied,
+    state_machine: StateMachine,
     handle: ControllerHandle,
     jobs: Sender<Job>,
-    outbox: Outbox,
+    transport: Transport,
     persisted: u64,
-    held: VecDeque<Held>,
-    callers: HashMap<Token, Caller>,
+    deferred: VecDeque<DeferredMessage>,
+    pending: HashMap<Token, PendingRequest>,
     next_token: Token,
     proposals: Vec<Proposal>,
-    failure: Option<Failure>,
-    retiring: Option<Answer<()>>,
-    is_retiring: bool,
+    failure: Option<StorageFailure>,
+    shutdown_reply: Option<ReplySender<()>>,
+    is_shutting_down: bool,
 }
 
-/// A storage that failed.
-struct Failure {
+/// A failure of the storage.
+struct StorageFailure {
     problem: String,
-    /// When it is tried again, unless it must not be.
-    retry: Option<Time>,
+    /// When the storage is loaded again; `None` if the failure is permanent or the
+    /// storage is being loaded.
+    reload_at: Option<Time>,
 }
 
 impl Core {
@@ -89,208 +90,212 @@
         let mut core = Self {
             settings: replica,
             hosts: voters.map(|v| (v.host.clone(), v.address)).collect(),
-            senders: HashMap::new(),
+            peer_addresses: HashMap::new(),
             clock,
             replica: started,
-            applied: Applied::new(handle.published.clone()),
+            state_machine: StateMachine::new(handle.published.clone()),
             handle: handle.clone(),
             jobs,
-            outbox: Outbox::new(secret, translations, shutdown),
+            transport: Transport::new(secret, translations, shutdown),
             persisted: 0,
-            held: VecDeque::new(),
-            callers: HashMap::new(),
+            deferred: VecDeque::new(),
+            pending: HashMap::new(),
             next_token: 1,
             proposals: Vec::new(),
             failure: None,
-            retiring: None,
-            is_retiring: false,
+            shutdown_reply: None,
+            is_shutting_down: false,
         };
-        core.carry_out(out);
-        core.show();
-        let revision = core.applied.tables().revision;
-        log::info!(target: "controller", "Tables {revision} are applied.");
+        core.run_actions(out);
+        core.publish();
+        let revision = core.state_machine.tables().revision;
+        log::info!(target: "controller", "Started with tables at {revision}.");
         core
     }
 
     /// Runs until shutdown starts.
     pub(crate) async fn run(
         mut self,
-        calls: Receiver<Call>,
-        reports: Receiver<Report>,
+        requests: Receiver<Request>,
+        storage_events: Receiver<StorageEvent>,
         shutdown: Shutdown,
     ) {
         let mut next_tick = self.clock.elapsed();
         while !shutdown.is_started() {
             let pause = next_tick.saturating_sub(self.clock.elapsed());
-            let call = async { calls.recv().await.ok().map(Input::Call) };
-            let report = async { reports.recv().await.ok().map(Input::Report) };
+            let request = async { requests.recv().await.ok().map(Input::Request) };
+            let storage_event = async { storage_events.recv().await.ok().map(Input::Storage) };
             let tick = async {
                 sleep(pause).await;
                 None
             };
-            let first = report.or(call).or(tick).await;
-            self.take(first, &calls, &reports);
+            let first = storage_event.or(request).or(tick).await;
+            self.handle_inputs(first, &requests, &storage_events);
             if self.clock.elapsed() >= next_tick {
-                next_tick = self.clock.elapsed() + TICK;
+                next_tick = self.clock.elapsed() + TICK_INTERVAL;
                 self.tick();
             }
-            self.show();
+            self.publish();
         }
     }
 
-    /// Takes in what waits, proposals together.
-    fn take(&mut self, first: Option<Input>, calls: &Receiver<Call>, reports: &Receiver<Report>) {
-        let waiting = std::iter::from_fn(|| {
-            let report = reports.try_recv().ok().map(Input::Report);
-            report.or_else(|| calls.try_recv().ok().map(Input::Call))
+    /// Handles the queued inputs and proposes their commands in one batch.
+    fn handle_inputs(
+        &mut self,
+        first: Option<Input>,
+        requests: &Receiver<Request>,
+        storage_events: &Receiver<StorageEvent>,
+    ) {
+        let queued = std::iter::from_fn(|| {
+            let event = storage_events.try_recv().ok().map(Input::Storage);
+            event.or_else(|| requests.try_recv().ok().map(Input::Request))
         });
-        for input in first.into_iter().chain(waiting.take(MAX_BATCH)) {
+        for input in first.into_iter().chain(queued.take(MAX_BATCH)) {
             match input {
-                Input::Call(call) => self.call(call),
-                Input::Report(report) => self.report(report),
+                Input::Request(request) => self.handle_request(request),
+                Input::Storage(event) => self.handle_storage_event(event),
             }
         }
-        self.propose_waiting();
+        self.flush_proposals();
     }
 
-    fn propose_waiting(&mut self) {
+    fn flush_proposals(&mut self) {
         if !self.proposals.is_empty() {
             let proposals = std::mem::take(&mut self.proposals);
-            self.tell(Event::Propose(proposals));
+            self.step_replica(Event::Propose(proposals));
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn step_replica(&mut self, event: Event) {
         let mut out = Vec::new();
         self.replica.handle(now(self.clock), event, &mut out);
-        self.carry_out(out);
+        self.run_actions(out);
     }
 
-    fn call(&mut self, call: Call) {
-        match call {
-            Call::Propose { command, answer } => {
-                if let Some(token) = self.register(Caller::Propose(answer)) {
+    fn handle_request(&mut self, request: Request) {
+        match request {
+            Request::Propose { command, reply } => {
+                if let Some(token) = self.register(PendingRequest::Propose(reply)) {
                     self.proposals.push(Proposal { token, command });
                 }
             }
-            Call::Read { answer } => {
-                if let Some(token) = self.register(Caller::Read(answer)) {
-                    self.tell(Event::Read(token));
+            Request::Read { reply } => {
+                if let Some(token) = self.register(PendingRequest::Read(reply)) {
+                    self.step_replica(Event::Read(token));
                 }
             }
-            Call::Change { change, answer } => {
-                if let Some(token) = self.register(Caller::Change(answer)) {
-                    self.tell(Event::ChangeMembers { token, change });
+            Request::ChangeMembers { change, reply } => {
+                if let Some(token) = self.register(PendingRequest::ChangeMembers(reply)) {
+                    self.step_replica(Event::ChangeMembers { token, change });
                 }
             }
-            Call::Deliver(messages) => {
+            Request::Deliver(messages) => {
                 for envelope in messages {
                     self.receive(envelope);
                 }
             }
-            Call::Retire { answer } => {
-                self.is_retiring = true;
-                self.retiring = Some(answer);
-                self.propose_waiting();
-                self.tell(Event::Shutdown);
+            Request::Shutdown { reply } => {
+                self.is_shutting_down = true;
+                self.shutdown_reply = Some(reply);
+                self.flush_proposals();
+                self.step_replica(Event::Shutdown);
             }
         }
     }
 
-    /// Keeps a caller until there is an answer; a failed storage has none.
-    fn register(&mut self, caller: Caller) -> Option<Token> {
+    /// Registers a pending request, or fails it at once if the storage has failed.
+    fn register(&mut self, request: PendingRequest) -> Option<Token> {
         if let Some(failure) = &self.failure {
-            caller.fail(ControlError::Storage(failure.problem.clone()));
+            request.fail(ControlError::Storage(failure.problem.clone()));
             return None;
         }
         let token = self.next_token;
         self.next_token += 1;
-        self.callers.insert(token, caller);
+        self.pending.insert(token, request);
         Some(token)
     }
 
     fn receive(&mut self, envelope: Envelope) {
-        let is_here = envelope.to.is_none_or(|to| to == self.replica.id());
-        if !is_here || self.failure.is_some() {
+        let is_addressee = envelope.to.is_none_or(|to| to == self.replica.id());
+        if !is_addressee || self.failure.is_some() {
             return;
         }
         let from = envelope.from;
-        self.senders.insert(from, envelope.address);
+        self.peer_addresses.insert(from, envelope.address);
         let message = envelope.message;
-        self.tell(Event::Receive { from, message });
+        self.step_replica(Event::Receive { from, message });
     }
 
-    fn report(&mut self, report: Report) {
-        match report {
-            Report::Persisted(seq) if self.failure.is_none() => {
+    fn handle_storage_event(&mut self, event: StorageEvent) {
+        match event {
+            StorageEvent::Persisted(seq) if self.failure.is_none() => {
                 self.persisted = seq;
-                self.release();
-                self.tell(Event::Persisted(seq));
+                self.send_deferred();
+                self.step_replica(Event::Persisted(seq));
             }
-            Report::Encoded { index, data } if self.failure.is_none() => {
-                self.tell(Event::SnapshotTaken { index, data });
+            StorageEvent::Encoded { index, data } if self.failure.is_none() => {
+                self.step_replica(Event::SnapshotTaken { index, data });
             }
-            Report::Failed(error) => self.fail(&error),
-            Report::Loaded(loaded) => self.restart(loaded),
-            Report::Persisted(_) | Report::Encoded { .. } => {}
+            StorageEvent::Failed(error) => self.fail(&error),
+            StorageEvent::Loaded(loaded) => self.restart(loaded),
+            StorageEvent::Persisted(_) | StorageEvent::Encoded { .. } => {}
         }
     }
 
-    /// Sends what waited for the disk.
-    fn release(&mut self) {
+    /// Sends the messages whose writes have become durable.
+    fn send_deferred(&mut self) {
         let persisted = self.persisted;
-        while let Some(held) = self.held.pop_front_if(|h| h.after <= persisted) {
-            self.send(held.to, held.message);
+        while let Some(deferred) = self.deferred.pop_front_if(|d| d.after <= persisted) {
+            self.send(deferred.to, deferred.message);
         }
     }
 
     fn tick(&mut self) {
         let Some(failure) = &mut self.failure else {
-            self.tell(Event::Tick);
+            self.step_replica(Event::Tick);
             return;
         };
-        if failure.retry.is_some_and(|at| now(self.clock) >= at) {
-            failure.retry = None;
+        if failure.reload_at.is_some_and(|at| now(self.clock) >= at) {
+            failure.reload_at = None;
             self.jobs.try_send(Job::Load).ok();
         }
     }
 
-    /// Stops taking part: what the replica holds in memory may not be on the
-    /// disk.
+    /// Stops the replica, because its state in memory may not be durable.
     fn fail(&mut self, error: &StorageError) {
-        log::error!(target: "controller", "The log cannot be written: {error}.");
-        self.held.clear();
+        log::error!(target: "controller", "The log storage failed: {error}.");
+        self.deferred.clear();
         let problem = error.to_string();
-        for (_, caller) in self.callers.drain() {
-            caller.fail(ControlError::Uncertain);
+        for (_, request) in self.pending.drain() {
+            request.fail(ControlError::Uncertain);
         }
         for proposal in self.proposals.drain(..) {
-            log::debug!(target: "controller", "Proposal {} is given up.", proposal.token);
+            log::debug!(target: "controller", "Proposal {} was dropped because the log storage failed.", proposal.token);
         }
-        let retry = error.is_transient().then(|| now(self.clock) + RELOAD_PAUSE);
-        self.failure = Some(Failure { problem, retry });
+        let reload_at = error.is_transient().then(|| now(self.clock) + RELOAD_DELAY);
+        self.failure = Some(StorageFailure { problem, reload_at });
     }
 
-    /// Starts the replica again from what the disk holds.
+    /// Restarts the replica from the state on disk.
     fn restart(&mut self, loaded: Result<Loaded, StorageError>) {
         let loaded = match loaded {
             Ok(loaded) => loaded,
             Err(error) => return self.fail(&error),
         };
-        log::info!(target: "controller", "The log is readable again.");
+        log::info!(target: "controller", "The log storage was reloaded after a failure.");
         let mut out = Vec::new();
         let settings = self.settings.clone();
         self.replica = Replica::start(settings, loaded, now(self.clock), &mut out);
-        self.applied.reset();
+        self.state_machine.reset();
         self.persisted = 0;
         self.failure = None;
-        self.carry_out(out);
-        if self.is_retiring {
-            self.tell(Event::Shutdown);
+        self.run_actions(out);
+        if self.is_shutting_down {
+            self.step_replica(Event::Shutdown);
         }
     }
 
-    fn carry_out(&mut self, out: Vec<Action>) {
+    fn run_actions(&mut self, out: Vec<Action>) {
         for action in out {
             match action {
                 Action::Persist { seq, write } => {
@@ -300,25 +305,26 @@
                     self.send(to, message);
                 }
                 Action::Send { to, message, after } => {
-                    self.held.push_back(Held { after, to, message });
+                    self.deferred
+                        .push_back(DeferredMessage { after, to, message });
                 }
-                Action::SendToHost { host, message } => self.contact(&host, message),
+                Action::SendToHost { host, message } => self.send_to_host(&host, message),
                 Action::Apply { entry, token } => self.apply(&entry, token),
-                Action::Restore(snapshot) => self.applied.restore(&snapshot),
+                Action::Restore(snapshot) => self.state_machine.restore(&snapshot),
                 Action::TakeSnapshot => {
                     let index = self.replica.applied();
-                    let tables = Box::new(self.applied.tables().clone());
+                    let tables = Box::new(self.state_machine.tables().clone());
                     self.jobs.try_send(Job::Encode { index, tables }).ok();
                 }
                 Action::ReadReady(token) => {
-                    if let Some(Caller::Read(answer)) = self.callers.remove(&token) {
-                        answer.send(Ok(self.applied.tables().clone()));
+                    if let Some(PendingRequest::Read(reply)) = self.pending.remove(&token) {
+                        reply.send(Ok(self.state_machine.tables().clone()));
                     }
                 }
                 Action::Refuse { token, refusal } => {
                     let leader = self.leader_address();
-                    if let Some(caller) = self.callers.remove(&token) {
-                        caller.refuse(refusal, leader);
+                    if let Some(request) = self.pending.remove(&token) {
+                        request.refuse(refusal, leader);
                     }
                 }
             }
@@ -327,40 +333,40 @@
 
     fn apply(&mut self, entry: &Entry, token: Option<Token>) {
         let outcome = match &entry.payload {
-            Payload::Command(command) => self.applied.apply(command),
+            Payload::Command(command) => self.state_machine.apply(command),
             Payload::Empty | Payload::Members(_) => None,
         };
-        let caller = token.and_then(|token| self.callers.remove(&token));
-        match (caller, outcome) {
-            (Some(Caller::Propose(answer)), Some(outcome)) => answer.send(Ok(outcome)),
-            (Some(Caller::Change(answer)), _) => answer.send(Ok(())),
-            (Some(caller), _) => caller.fail(ControlError::Uncertain),
+        let request = token.and_then(|token| self.pending.remove(&token));
+        match (request, outcome) {
+            (Some(PendingRequest::Propose(reply)), Some(outcome)) => reply.send(Ok(outcome)),
+            (Some(PendingRequest::ChangeMembers(reply)), _) => reply.send(Ok(())),
+            (Some(request), _) => request.fail(ControlError::Uncertain),
             (None, _) => {}
         }
     }
 
     fn send(&mut self, to: ReplicaId, message: Message) {
         let member = self.replica.membership().member(to).map(|m| m.address);
-        let known = self.senders.get(&to).copied();
+        let known = self.peer_addresses.get(&to).copied();
         if let Some(address) = known.or(member) {
-            self.post(address, Some(to), message);
+            self.send_envelope(address, Some(to), message);
         }
     }
 
-    fn contact(&mut self, host: &Name, message: Message) {
+    fn send_to_host(&mut self, host: &Name, message: Message) {
         if let Some(address) = self.hosts.get(host).copied() {
-            self.post(address, None, message);
+            self.send_envelope(address, None, message);
         }
     }
 
-    fn post(&mut self, address: SocketAddr, to: Option<ReplicaId>, message: Message) {
+    fn send_envelope(&mut self, address: SocketAddr, to: Option<ReplicaId>, message: Message) {
         let envelope = Envelope {
             from: self.replica.id(),
             address: self.settings.address,
             to,
             message,
         };
-        self.outbox.send(address, envelope);
+        self.transport.send(address, envelope);
     }
 
     fn leader_address(&self) -> Option<SocketAddr> {
@@ -368,43 +374,45 @@
         self.replica.membership().member(leader).map(|m| m.address)
     }
 
-    /// Shows others what has changed.
-    fn show(&mut self) {
-        self.applied.publish();
-        self.show_leadership();
-        self.show_freshness();
+    /// Publishes the tables, the leadership and the status, and completes a pending
+    /// shutdown.
+    fn publish(&mut self) {
+        self.state_machine.publish();
+        self.publish_leadership();
+        self.publish_freshness();
         let status = self.status();
         if status != self.handle.status.get() {
             let role = &status.role;
             if *role != self.handle.status.get().role {
-                log::info!(target: "controller", "Now {role} in term {}.", status.term);
+                log::info!(target: "controller", "Role changed to {role} in term {}.", status.term);
             }
             self.handle.status.set(status);
         }
-        let is_free = self.replica.role() != RoleName::Leader || self.is_idle_alone();
-        if (is_free || self.failure.is_some())
-            && let Some(answer) = self.retiring.take()
+        let can_stop = self.replica.role() != RoleName::Leader || self.is_idle_sole_voter();
+        if (can_stop || self.failure.is_some())
+            && let Some(reply) = self.shutdown_reply.take()
         {
-            answer.send(());
+            reply.send(());
         }
     }
 
-    fn is_idle_alone(&self) -> bool {
-        self.replica.membership().voters().count() == 1 && self.callers.is_empty()
+    fn is_idle_sole_voter(&self) -> bool {
+        self.replica.membership().voters().count() == 1 && self.pending.is_empty()
     }
 
-    fn show_leadership(&self) {
+    fn publish_leadership(&self) {
         let lease = self.replica.lease(now(self.clock));
         let lease = lease.filter(|_| self.failure.is_none());
-        let next = lease.map(|until| Leadership {
+        let next = lease.map(|expires_at| Leadership {
             term: self.replica.term(),
-            until: until - Time::ZERO,
+            expires_at: expires_at - Time::ZERO,
             clock: self.clock,
         });
-        let shown = self.handle.leadership.get();
-        let has_changed = match (&shown, &next) {
-            (Some(shown), Some(next)) => {
-                shown.term != next.term || next.until >= shown.until + LEASE_STEP
+        let published = self.handle.leadership.get();
+        let has_changed = match (&published, &next) {
+            (Some(published), Some(next)) => {
+                published.term != next.term
+                    || next.expires_at >= published.expires_at + MIN_LEASE_EXTENSION
             }
             (None, None) => false,
             _ => true,
@@ -414,11 +422,11 @@
         }
     }
 
-    fn show_freshness(&self) {
-        let in_touch = self.replica.last_contact(now(self.clock));
-        if let Some(at) = in_touch.filter(|_| self.failure.is_none()) {
+    fn publish_freshness(&self) {
+        let last_contact = self.replica.last_contact(now(self.clock));
+        if let Some(at) = last_contact.filter(|_| self.failure.is_none()) {
             self.handle
-                .fresh_at
+                .verified_at
                 .store(at.as_micros(), Ordering::Relaxed);
         }
     }
@@ -440,7 +448,7 @@
             role: role.to_owned(),
             term: replica.term(),
             commit: replica.commit(),
-            revision: self.applied.tables().revision,
+            revision: self.state_machine.tables().revision,
             leader: self.leader_address(),
             members: replica.membership().members.clone(),
             disk,
@@ -450,8 +458,8 @@
 }
 
 enum Input {
-    Call(Call),
-    Report(Report),
+    Request(Request),
+    Storage(StorageEvent),
 }
 
 fn now(clock: Clock) -> Time {
--- a/crates/sequoiawing_controller/src/daemon.rs
+++ b/crates/sequoiawing_controller/src/daemon.rs
@@ -1,9 +1,9 @@
 use crate::{
     ControllerHandle, ControllerSettings,
     budgets::Budgets,
-    call::{Answer, Call},
     core::Core,
-    measure::measure,
+    metrics::report_metrics,
+    request::{ReplySender, Request},
     service::ControlService,
     writer,
 };
@@ -14,33 +14,33 @@
 use sequoiawing_runtime::{Clock, Shutdown, Watch, sleep, spawn, timeout};
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
-/// The calls that may wait for the core.
-const MAX_CALLS: usize = 4_096;
+/// The maximum number of requests queued for the core.
+const MAX_REQUESTS: usize = 4_096;
 
-/// How long a start waits for the only voter of a deployment to lead.
-const START_LIMIT: Duration = Duration::from_secs(5);
+/// How long startup waits for the only voter of a deployment to become leader.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a stop waits for what is open and for a successor.
-const STOP_LIMIT: Duration = Duration::from_secs(5);
+/// How long shutdown waits for pending requests and for a new leader.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long answers may take to reach their callers before connections close.
-const ANSWER_GRACE: Duration = Duration::from_millis(200);
+/// How long replies may take to reach their callers before connections close.
+const REPLY_GRACE_PERIOD: Duration = Duration::from_millis(200);
 
-/// A storage and the identity of its disk.
-pub struct StoragePlace {
-    /// The identity.
+/// A log storage and the ID of the replica that it belongs to.
+pub struct ReplicaStorage {
+    /// The ID of the replica.
     pub id: ReplicaId,
-    /// The storage.
-    pub storage: Box<dyn LogStorage>,
+    /// The log storage.
+    pub log: Box<dyn LogStorage>,
 }
 
-impl StoragePlace {
+impl ReplicaStorage {
     fn open(settings: &ControllerSettings) -> Result<Self, StorageError> {
-        let fresh = ReplicaId(rand::random());
-        let storage = DiskStorage::open(&settings.data, fresh, StorageLimits::default())?;
+        let new_id = ReplicaId(rand::random());
+        let storage = DiskStorage::open(&settings.data, new_id, StorageLimits::default())?;
         let id = storage.id();
-        let storage = Box::new(storage);
-        Ok(Self { id, storage })
+        let log = Box::new(storage);
+        Ok(Self { id, log })
     }
 }
 
@@ -52,56 +52,56 @@
 }
 
 impl Controller {
-    /// Starts a controller on its data folder.
+    /// Starts a controller that stores its log in the data folder of `settings`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address is taken, or when the data folder is
-    /// in use, cannot be read or is damaged.
+    /// Returns an error if the address is in use, or if the data folder is locked,
+    /// unreadable or corrupted.
     pub async fn start(settings: ControllerSettings) -> io::Result<Self> {
-        let place = StoragePlace::open(&settings).map_err(io::Error::other)?;
-        Self::start_on(settings, place).await
+        let storage = ReplicaStorage::open(&settings).map_err(io::Error::other)?;
+        Self::start_with_storage(settings, storage).await
     }
 
-    /// Starts a controller on a storage of the caller's.
+    /// Starts a controller with the given storage.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address is taken or the storage fails.
-    pub async fn start_on(
+    /// Returns an error if the address is in use or the storage fails.
+    pub async fn start_with_storage(
         settings: ControllerSettings,
-        mut place: StoragePlace,
+        mut storage: ReplicaStorage,
     ) -> io::Result<Self> {
         let shutdown = Shutdown::new();
         let secret = Secret::from(settings.secret.as_str());
         let listener = LinkListener::bind(settings.link, secret).await?;
         let link = listener.address()?;
-        let loaded = place.storage.load().map_err(io::Error::other)?;
-        let (report_sender, reports) = async_channel::unbounded();
-        let jobs = writer::start(place.storage, report_sender)?;
-        let (call_sender, calls) = async_channel::bounded(MAX_CALLS);
+        let loaded = storage.log.load().map_err(io::Error::other)?;
+        let (event_sender, events) = async_channel::unbounded();
+        let jobs = writer::start(storage.log, event_sender)?;
+        let (request_sender, requests) = async_channel::bounded(MAX_REQUESTS);
         let handle = ControllerHandle {
-            calls: call_sender,
+            requests: request_sender,
             published: Watch::default(),
             status: Watch::default(),
             leadership: Watch::new(None),
             clock: Clock::start(),
-            fresh_at: Arc::default(),
+            verified_at: Arc::default(),
         };
-        let mut replica = ReplicaSettings::new(place.id, settings.host.clone(), link);
+        let mut replica = ReplicaSettings::new(storage.id, settings.host.clone(), link);
         replica.replace_after = settings.replace.map(Duration::from_millis);
         replica.target_voters = settings.grow;
         replica.voters = settings.voters.iter().map(|v| v.host.clone()).collect();
         let core = Core::new(&settings, replica, loaded, &handle, jobs, shutdown.clone());
-        spawn(core.run(calls, reports, shutdown.clone())).detach();
-        let measuring = measure(settings.clone(), handle.clone(), shutdown.clone());
-        spawn(measuring).detach();
+        spawn(core.run(requests, events, shutdown.clone())).detach();
+        let reporting = report_metrics(settings.clone(), handle.clone(), shutdown.clone());
+        spawn(reporting).detach();
         let service = ControlService {
             handle: handle.clone(),
             budgets: Budgets::start(handle.clone(), shutdown.clone()),
         };
         spawn(listener.serve(answer_calls!(service.serve()), shutdown.clone())).detach();
-        log::info!(target: "controller", "Serving routers and operators at {link}.");
+        log::info!(target: "controller", "Listening for routers and operators at {link}.");
         let controller = Self {
             shutdown,
             link,
@@ -115,33 +115,39 @@
 
     async fn wait_until_leading(&self) {
         let leadership = &self.handle.leadership;
-        let leads = leadership.wait_until(Option::is_some);
-        if timeout(START_LIMIT, leads).await.is_none() {
-            log::warn!(target: "controller", "The only voter does not lead yet.");
+        let leading = leadership.wait_until(Option::is_some);
+        if timeout(START_TIMEOUT, leading).await.is_none() {
+            log::warn!(target: "controller", "The only voter has not become leader within {START_TIMEOUT:?}.");
         }
     }
 
-    /// Returns where other processes and operators connect.
+    /// Returns the address to which other processes and operators connect.
     pub fn link(&self) -> SocketAddr {
         self.link
     }
 
-    /// Returns how other parts of the process use the log and tables.
+    /// Returns a handle to the log and tables.
     pub fn handle(&self) -> ControllerHandle {
         self.handle.clone()
     }
 
-    /// Answers what is open, hands leadership over and stops.
+    /// Completes pending requests, transfers leadership and stops.
+    ///
+    /// Stops without a new leader if the transfer takes longer than 5 seconds.
     pub async fn stop(self) {
-        let (answer, done) = Answer::channel();
-        let retire = async {
-            self.handle.calls.send(Call::Retire { answer }).await.ok();
+        let (reply, done) = ReplySender::channel();
+        let hand_over = async {
+            self.handle
+                .requests
+                .send(Request::Shutdown { reply })
+                .await
+                .ok();
             done.recv().await.ok()
         };
-        if timeout(STOP_LIMIT, retire).await.is_none() {
-            log::warn!(target: "controller", "Stopping without a successor.");
+        if timeout(STOP_TIMEOUT, hand_over).await.is_none() {
+            log::warn!(target: "controller", "Leadership was not transferred within {STOP_TIMEOUT:?}; stopping anyway.");
         }
-        sleep(ANSWER_GRACE).await;
+        sleep(REPLY_GRACE_PERIOD).await;
         self.shutdown.start();
     }
 }
--- a/crates/sequoiawing_controller/src/handle.rs
+++ b/crates/sequoiawing_controller/src/handle.rs
@@ -1,6 +1,6 @@
 use crate::{
     Leadership,
-    call::{Answer, Call},
+    request::{ReplySender, Request},
 };
 use async_channel::Sender;
 use sequoiawing_consensus::{Envelope, MemberChange};
@@ -15,84 +15,89 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// How a controller's parts use its log and tables.
+/// A handle to a controller's log and tables, for use within the same process.
 #[derive(Clone)]
 pub struct ControllerHandle {
-    pub(crate) calls: Sender<Call>,
+    pub(crate) requests: Sender<Request>,
     pub(crate) published: Watch<Arc<Tables>>,
     pub(crate) status: Watch<ControlStatus>,
     pub(crate) leadership: Watch<Option<Leadership>>,
     pub(crate) clock: Clock,
-    /// When the tables were known to be the newest, in microseconds of the
-    /// clock.
-    pub(crate) fresh_at: Arc<AtomicU64>,
+    /// The clock time, in microseconds, at which the tables were last known to be
+    /// up to date.
+    pub(crate) verified_at: Arc<AtomicU64>,
 }
 
 impl ControllerHandle {
-    /// Proposes a command, with this controller's wall clock in place of the
-    /// caller's, and waits until it is committed and applied.
+    /// Proposes a command and waits until it is committed and applied.
+    ///
+    /// Timestamps in the command are replaced with this controller's wall clock.
     ///
     /// # Errors
     ///
-    /// Returns an error when another controller leads, too much waits, the disk
-    /// fails, or the fate of the command is not known; a resend of an edit with
-    /// the same request id then gets the first answer.
+    /// Returns an error if another controller leads, the queue is full, the disk
+    /// fails, or it is unknown whether the command was committed. In the last case
+    /// an edit can be retried safely: the same request ID gets the original outcome.
     pub async fn propose(&self, command: &Command) -> Result<Outcome, ControlError> {
         let json = serde_json::to_string(&command.clone().stamped(wall_clock()));
         let json = json.map_err(|e| ControlError::Storage(e.to_string()))?;
         let command = Arc::from(json);
-        self.ask(|answer| Call::Propose { command, answer }).await
+        self.request(|reply| Request::Propose { command, reply })
+            .await
     }
 
-    /// Returns the tables as of a moment after the call was made.
+    /// Performs a linearizable read of the tables.
     ///
     /// # Errors
     ///
-    /// Returns an error when another controller leads.
+    /// Returns an error if another controller leads, the disk fails, or the
+    /// controller stops.
     pub async fn read(&self) -> Result<Tables, ControlError> {
-        self.ask(|answer| Call::Read { answer }).await
+        self.request(|reply| Request::Read { reply }).await
     }
 
-    /// Changes the members of the log and waits until the change is committed.
+    /// Changes the membership of the log and waits until the change is committed.
     ///
     /// # Errors
     ///
-    /// Returns an error as [`ControllerHandle::propose`] does, or when the
-    /// change does not fit the members.
+    /// Returns the errors of [`ControllerHandle::propose`], or an error if the
+    /// change is invalid for the current members.
     pub async fn change_members(&self, change: MemberChange) -> Result<(), ControlError> {
-        self.ask(|answer| Call::Change { change, answer }).await
+        self.request(|reply| Request::ChangeMembers { change, reply })
+            .await
     }
 
-    /// Returns the lease of this controller, if it holds one.
+    /// Returns the leader lease of this controller, if it holds a valid one.
     pub fn leadership(&self) -> Option<Leadership> {
         self.leadership.get().filter(Leadership::is_valid)
     }
 
-    /// Returns the watch that changes with the leadership of this controller.
+    /// Returns a watch of this controller's leadership.
     ///
-    /// A lease that it shows may have run out; [`Leadership::is_valid`] tells.
+    /// The lease in the watch may have expired; check [`Leadership::is_valid`].
     pub fn watch_leadership(&self) -> Watch<Option<Leadership>> {
         self.leadership.clone()
     }
 
-    /// Returns the tables that routers are shown.
+    /// Returns the tables published to routers.
     pub fn tables(&self) -> Arc<Tables> {
         self.published.get()
     }
 
-    /// Waits for tables that are newer than `revision`.
-    pub async fn newer(&self, revision: Revision, wait: Duration) -> Option<Arc<Tables>> {
+    /// Waits until the published tables are newer than `revision`. Returns `None`
+    /// after `wait`.
+    pub async fn wait_for_newer(&self, revision: Revision, wait: Duration) -> Option<Arc<Tables>> {
         let is_newer = |t: &Arc<Tables>| t.revision > revision;
         timeout(wait, self.published.wait_until(is_newer)).await
     }
 
-    /// Returns the time since the tables were known to be the newest.
+    /// Returns the time since the tables were last known to be up to date.
     pub fn age(&self) -> Duration {
-        let fresh = Duration::from_micros(self.fresh_at.load(Ordering::Relaxed));
-        self.clock.elapsed().saturating_sub(fresh)
+        let verified = Duration::from_micros(self.verified_at.load(Ordering::Relaxed));
+        self.clock.elapsed().saturating_sub(verified)
     }
 
-    /// Returns what the controller reports of itself.
+    /// Returns the status of this controller.
     pub fn status(&self) -> ControlStatus {
         let mut status = self.status.get();
         status.revision = self.published.get().revision;
@@ -100,16 +105,16 @@
     }
 
     pub(crate) async fn deliver(&self, messages: Vec<Envelope>) {
-        self.calls.send(Call::Deliver(messages)).await.ok();
+        self.requests.send(Request::Deliver(messages)).await.ok();
     }
 
-    async fn ask<T, F>(&self, make: F) -> Result<T, ControlError>
+    async fn request<T, F>(&self, build: F) -> Result<T, ControlError>
     where
-        F: FnOnce(Answer<Result<T, ControlError>>) -> Call,
+        F: FnOnce(ReplySender<Result<T, ControlError>>) -> Request,
     {
-        let (answer, receiver) = Answer::channel();
+        let (reply, receiver) = ReplySender::channel();
         let stopped = |_| ControlError::NotLeader { leader: None };
-        self.calls.send(make(answer)).await.map_err(stopped)?;
+        self.requests.send(build(reply)).await.map_err(stopped)?;
         receiver
             .recv()
             .await
@@ -117,7 +122,7 @@
     }
 }
 
-/// Returns the wall clock in seconds.
+/// Returns the seconds since the Unix epoch.
 fn wall_clock() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| d.as_secs())
--- a/crates/sequoiawing_controller/src/leadership.rs
+++ b/crates/sequoiawing_controller/src/leadership.rs
@@ -1,23 +1,23 @@
 use sequoiawing_runtime::Clock;
 use std::time::Duration;
 
-/// The right to act for the whole deployment, for as long as the lease runs.
+/// A leader lease: the right to act for the whole deployment until it expires.
 ///
-/// No other controller holds a lease while this one does; see
-/// [docs/design/consensus.md](../../../docs/design/consensus.md). The lease is
-/// to be checked just before each act, since the process may have been stopped
-/// in between.
+/// At most one controller holds a valid lease at a time; see
+/// [docs/design/consensus.md](../../../docs/design/consensus.md). Callers must
+/// check the lease immediately before each action, because the process may have
+/// been suspended since the last check.
 #[derive(Clone, Copy, Debug)]
 pub struct Leadership {
-    /// The term, which fences what an earlier leader did.
+    /// The term, used to fence actions of earlier leaders.
     pub term: u64,
-    pub(crate) until: Duration,
+    pub(crate) expires_at: Duration,
     pub(crate) clock: Clock,
 }
 
 impl Leadership {
-    /// Reports whether the lease still runs.
+    /// Returns `true` if the lease has not expired.
     pub fn is_valid(&self) -> bool {
-        self.clock.elapsed() < self.until
+        self.clock.elapsed() < self.expires_at
     }
 }
--- a/crates/sequoiawing_controller/src/lib.rs
+++ b/crates/sequoiawing_controller/src/lib.rs
@@ -1,28 +1,28 @@
-//! The replicated tables behind the routers.
+//! The control plane that replicates the routing tables.
 //!
-//! A controller commits commands to a log, applies them to the tables and
-//! publishes these to the routers that follow it. See
+//! A controller commits commands to a replicated log, applies them to the tables
+//! and publishes the tables to the routers that follow it. See
 //! [docs/ARCHITECTURE.md](../../../docs/ARCHITECTURE.md).
 
-mod applied;
 mod budgets;
-mod call;
 mod core;
 mod daemon;
 mod handle;
 mod leadership;
-mod measure;
-mod outbox;
+mod metrics;
+mod request;
 mod service;
 mod settings;
+mod state_machine;
+mod transport;
 mod writer;
 
-pub use daemon::{Controller, StoragePlace};
+pub use daemon::{Controller, ReplicaStorage};
 pub use handle::ControllerHandle;
 pub use leadership::Leadership;
 pub use settings::{ControllerSettings, Voter};
 
-/// The types that embedders import most.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{Controller, ControllerHandle, ControllerSettings, Leadership};
 }
--- a/crates/sequoiawing_controller/src/service.rs
+++ b/crates/sequoiawing_controller/src/service.rs
@@ -8,7 +8,7 @@
 use sequoiawing_types::Name;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Answers the calls of routers, operators and other controllers.
+/// Serves the RPCs of routers, operators and other controllers.
 #[derive(Clone)]
 pub(crate) struct ControlService {
     pub(crate) handle: ControllerHandle,
@@ -22,7 +22,7 @@
 
     async fn follow(self, _: Context, question: Follow) -> Published {
         let wait = Duration::from_millis(question.wait);
-        self.handle.newer(question.revision, wait).await;
+        self.handle.wait_for_newer(question.revision, wait).await;
         let tables = self.handle.tables();
         Published {
             revision: tables.revision,
--- a/crates/sequoiawing_controller/src/settings.rs
+++ b/crates/sequoiawing_controller/src/settings.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, path::PathBuf};
 
-/// A controller that votes from the start.
+/// An initial voter of the replicated log.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Voter {
-    /// Its host.
+    /// The host name of the controller.
     pub host: Name,
-    /// Where it takes the calls of other processes.
+    /// The address at which it listens for other processes.
     pub address: SocketAddr,
 }
 
@@ -21,30 +21,30 @@
     pub host: Name,
     /// The data centre of this host.
     pub centre: Name,
-    /// Where other processes and operators connect.
+    /// The listen address for other processes and operators.
     pub link: SocketAddr,
-    /// The secret that all processes of the deployment share.
+    /// The shared secret of all processes of the deployment.
     pub secret: String,
-    /// The folder for the log, on a disk that keeps what was synced.
+    /// The folder for the log, on a disk that does not lose synced writes.
     pub data: PathBuf,
-    /// Where metrics are scraped, on an internal address; nowhere when none is
-    /// given.
+    /// The internal listen address for scraping metrics. Metrics are disabled if
+    /// unset.
     pub metrics: Option<SocketAddr>,
-    /// The first voters, the same list in the same order on each of them; the
-    /// first one forms the deployment once all have empty disks. Empty means
-    /// that this controller is the only voter. A controller that is not in the
-    /// list joins the deployment as a learner.
+    /// The initial voters. The list must be the same, in the same order, on each of
+    /// them; the first voter bootstraps the deployment once the disks of all of
+    /// them are empty. If the list is empty, this controller is the only voter. A
+    /// controller that is not in the list joins the deployment as a learner.
     pub voters: Vec<Voter>,
-    /// How long a voter may be away before a learner that has caught up takes
-    /// its place, in milliseconds; never when none is given, and operators then
-    /// seat controllers by `sequoiactl controllers`.
+    /// How long a voter may be unreachable before a learner that has caught up
+    /// replaces it, in milliseconds. If unset, voters are not replaced
+    /// automatically; operators replace them with `sequoiactl controllers`.
     pub replace: Option<u64>,
-    /// The voters up to which learners that have caught up are given seats; 0
-    /// where operators give them. Twice the machines that may be lost at once,
-    /// and one.
+    /// The number of voters up to which learners that have caught up are promoted
+    /// to voters; 0 disables automatic promotion. To tolerate the loss of `f`
+    /// machines at once, set `2 * f + 1`.
     pub grow: usize,
-    /// The addresses of other controllers that this host reaches under others,
-    /// as behind address translation between data centres.
+    /// The addresses of other controllers that this host reaches under a different
+    /// address, for example because of address translation between data centres.
     pub translations: Vec<Translation>,
 }
 
@@ -90,13 +90,16 @@
             }
             let earlier = &self.voters[..i];
             if earlier.iter().any(|v| v.host == voter.host) {
-                findings.push(format!("{place}.host"), "stands twice");
+                findings.push(format!("{place}.host"), "is used by more than one voter");
             }
             if earlier.iter().any(|v| v.address == voter.address) {
-                findings.push(format!("{place}.address"), "stands twice");
+                findings.push(format!("{place}.address"), "is used by more than one voter");
             }
             if voter.host == self.host && voter.address != self.link {
-                findings.push(format!("{place}.address"), "differs from \"link\"");
+                findings.push(
+                    format!("{place}.address"),
+                    "must be equal to \"link\" for this host",
+                );
             }
         }
     }
--- a/crates/sequoiawing_controller/src/applied.rs
+++ b/crates/sequoiawing_controller/src/state_machine.rs
@@ -1,19 +1,19 @@
-use crate::call::decode;
+use crate::request::decode;
 use sequoiawing_consensus::Snapshot;
 use sequoiawing_runtime::Watch;
 use sequoiawing_tables::{Command, Outcome, Tables};
 use std::sync::Arc;
 
-/// The tables as the log has made them so far.
+/// The replicated state machine: the tables after all applied log entries.
 ///
-/// Routers get a copy only after an edit; claims and allotments, which come with
-/// requests, change the tables in place.
-pub(crate) struct Applied {
+/// Routers get a copy only after an edit. Claims and allotments change the tables
+/// in place, because they are as frequent as requests.
+pub(crate) struct StateMachine {
     tables: Tables,
     published: Watch<Arc<Tables>>,
 }
 
-impl Applied {
+impl StateMachine {
     pub(crate) fn new(published: Watch<Arc<Tables>>) -> Self {
         Self {
             tables: Tables::default(),
@@ -26,23 +26,23 @@
         match serde_json::from_str::<Command>(command) {
             Ok(command) => Some(self.tables.apply(command)),
             Err(error) => {
-                log::error!(target: "controller", "A committed command is unreadable: {error}.");
+                log::error!(target: "controller", "Failed to decode a committed command: {error}.");
                 None
             }
         }
     }
 
-    /// Replaces the tables by those of a snapshot.
+    /// Replaces the tables with those of a snapshot.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
         match decode(snapshot) {
             Ok(tables) => self.tables = tables,
             Err(error) => {
-                log::error!(target: "controller", "A snapshot is unreadable: {error}.");
+                log::error!(target: "controller", "Failed to decode a snapshot: {error}.");
             }
         }
     }
 
-    /// Starts over, as a replica does that is started again.
+    /// Clears the tables before the replica restarts and replays its log.
     pub(crate) fn reset(&mut self) {
         self.tables = Tables::default();
     }
@@ -51,14 +51,14 @@
         &self.tables
     }
 
-    /// Shows routers what edits changed, and never an older revision.
+    /// Publishes edits to routers. The published revision never decreases.
     pub(crate) fn publish(&self) {
-        let shown = self.published.get();
-        let Some(update) = self.tables.update_from(shown.revision) else {
+        let published = self.published.get();
+        let Some(update) = self.tables.update_from(published.revision) else {
             return;
         };
-        let mut next = Tables::clone(&shown);
-        drop(shown);
+        let mut next = Tables::clone(&published);
+        drop(published);
         next.update(update);
         self.published.set(Arc::new(next));
     }
--- a/crates/sequoiawing_controller/src/outbox.rs
+++ b/crates/sequoiawing_controller/src/transport.rs
@@ -4,28 +4,28 @@
 use sequoiawing_runtime::{Shutdown, sleep, spawn};
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-/// The messages that may wait for one controller; more are dropped, as the log
-/// expects of a network.
-const MAX_WAITING: usize = 1_024;
+/// The maximum number of messages queued for one controller. Further messages are
+/// dropped: the log tolerates message loss.
+const MAX_QUEUED: usize = 1_024;
 
-/// The messages that one call carries.
+/// The maximum number of messages in one call.
 const MAX_BATCH: usize = 128;
 
-/// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long no call is made after one failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The delay between a failed call and the next one.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Sends messages to other controllers, each over a connection of its own.
-pub(crate) struct Outbox {
+/// Sends messages to other controllers over one connection per controller.
+pub(crate) struct Transport {
     secret: Secret,
     translations: Translations,
     shutdown: Shutdown,
     queues: HashMap<SocketAddr, Sender<Envelope>>,
 }
 
-impl Outbox {
+impl Transport {
     pub(crate) fn new(secret: Secret, translations: Translations, shutdown: Shutdown) -> Self {
         Self {
             secret,
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Queues a message, or drops it when too many wait.
+    /// Queues a message, or drops it if the queue is full.
     pub(crate) fn send(&mut self, to: SocketAddr, envelope: Envelope) {
         let queue = self.queues.entry(to).or_insert_with(|| {
-            let (sender, receiver) = async_channel::bounded(MAX_WAITING);
+            let (sender, receiver) = async_channel::bounded(MAX_QUEUED);
             let stub = Stub::new(self.translations.reach(to), self.secret.clone());
             let shutdown = self.shutdown.clone();
-            let sending = async move { shutdown.or(send_all(stub, receiver)).await };
-            spawn(sending).detach();
+            let sender_task = async move { shutdown.or(send_all(stub, receiver)).await };
+            spawn(sender_task).detach();
             sender
         });
         queue.try_send(envelope).ok();
@@ -58,12 +58,12 @@
             };
             batch.push(next);
         }
-        let call = stub.call(CALL_LIMIT, |client, context| async move {
+        let call = stub.call(CALL_TIMEOUT, |client, context| async move {
             client.deliver(context, batch).await
         });
         if let Err(error) = Box::pin(call).await {
-            log::debug!(target: "controller", "Messages were lost: {error}.");
-            sleep(RETRY_PAUSE).await;
+            log::debug!(target: "controller", "Failed to send a batch of messages to another controller: {error}.");
+            sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/sequoiawing_controller/src/writer.rs
+++ b/crates/sequoiawing_controller/src/writer.rs
@@ -1,30 +1,30 @@
-use crate::call::Report;
+use crate::request::StorageEvent;
 use async_channel::{Receiver, Sender};
 use sequoiawing_consensus::{LogStorage, StorageError, Write};
 use sequoiawing_tables::Tables;
 use std::{io, sync::Arc, thread};
 
-/// The writes that one sync may cover.
+/// The maximum number of writes covered by one sync.
 const MAX_BATCH: usize = 1_024;
 
-/// What the core wants of the storage thread.
+/// A job for the storage thread.
 pub(crate) enum Job {
     Write { seq: u64, write: Write },
     Encode { index: u64, tables: Box<Tables> },
     Load,
 }
 
-/// Starts the thread that waits for the disk.
+/// Starts the storage thread, which does the blocking disk I/O.
 ///
-/// All writes that wait are made durable by one sync.
+/// Queued writes are made durable together by one sync.
 pub(crate) fn start(
     storage: Box<dyn LogStorage>,
-    reports: Sender<Report>,
+    events: Sender<StorageEvent>,
 ) -> io::Result<Sender<Job>> {
     let (sender, jobs) = async_channel::unbounded();
     let mut writer = Writer {
         storage,
-        reports,
+        events,
         is_failed: false,
     };
     thread::Builder::new()
@@ -35,7 +35,7 @@
 
 struct Writer {
     storage: Box<dyn LogStorage>,
-    reports: Sender<Report>,
+    events: Sender<StorageEvent>,
     is_failed: bool,
 }
 
@@ -44,20 +44,20 @@
         while let Ok(job) = jobs.recv_blocking() {
             let mut next = Some(job);
             while let Some(job) = next.take() {
-                next = self.carry_out(job, jobs);
+                next = self.run_job(job, jobs);
             }
         }
     }
 
-    /// Carries out a job and returns the one after it, if it was taken already.
-    fn carry_out(&mut self, job: Job, jobs: &Receiver<Job>) -> Option<Job> {
+    /// Runs a job. Returns the next job if it was already taken from the queue.
+    fn run_job(&mut self, job: Job, jobs: &Receiver<Job>) -> Option<Job> {
         match job {
             Job::Write { seq, write } => return self.write(seq, write, jobs),
             Job::Encode { index, tables } => self.encode(index, &tables),
             Job::Load => {
                 let loaded = self.storage.load();
                 self.is_failed = loaded.is_err();
-                self.report(Report::Loaded(loaded));
+                self.send(StorageEvent::Loaded(loaded));
             }
         }
         None
@@ -66,7 +66,7 @@
     fn write(&mut self, seq: u64, write: Write, jobs: &Receiver<Job>) -> Option<Job> {
         let mut last = seq;
         let mut writes = vec![write];
-        let mut other = None;
+        let mut next_job = None;
         while writes.len() < MAX_BATCH {
             match jobs.try_recv() {
                 Ok(Job::Write { seq, write }) => {
@@ -74,7 +74,7 @@
                     writes.push(write);
                 }
                 Ok(job) => {
-                    other = Some(job);
+                    next_job = Some(job);
                     break;
                 }
                 Err(_) => break,
@@ -82,31 +82,31 @@
         }
         if !self.is_failed {
             match self.storage.write(&writes) {
-                Ok(()) => self.report(Report::Persisted(last)),
+                Ok(()) => self.send(StorageEvent::Persisted(last)),
                 Err(error) => self.fail(error),
             }
         }
-        other
+        next_job
     }
 
     fn fail(&mut self, error: StorageError) {
         self.is_failed = true;
-        self.report(Report::Failed(error));
+        self.send(StorageEvent::Failed(error));
     }
 
     fn encode(&self, index: u64, tables: &Tables) {
         match serde_json::to_string(tables) {
-            Ok(data) => self.report(Report::Encoded {
+            Ok(data) => self.send(StorageEvent::Encoded {
                 index,
                 data: Arc::from(data),
             }),
             Err(error) => {
-                log::error!(target: "controller", "The tables could not be written: {error}.");
+                log::error!(target: "controller", "Failed to encode a snapshot of the tables at index {index}: {error}.");
             }
         }
     }
 
-    fn report(&self, report: Report) {
-        self.reports.try_send(report).ok();
+    fn send(&self, event: StorageEvent) {
+        self.events.try_send(event).ok();
     }
 }
--- a/crates/sequoiawing_controller/tests/disks.rs
+++ b/crates/sequoiawing_controller/tests/disks.rs
@@ -1,9 +1,9 @@
-//! Disks that are full, fail or hang.
+//! Tests a controller whose disk is full, fails to sync or hangs.
 
 use sequoiawing_consensus::{
     DiskStorage, Loaded, LogStorage, ReplicaId, StorageError, StorageLimits, Write,
 };
-use sequoiawing_controller::{Controller, ControllerHandle, ControllerSettings, StoragePlace};
+use sequoiawing_controller::{Controller, ControllerHandle, ControllerSettings, ReplicaStorage};
 use sequoiawing_link::{ControlError, ControlStatus};
 use sequoiawing_runtime::{run, sleep};
 use sequoiawing_tables::{Change, Command, Customer, Outcome};
@@ -15,21 +15,21 @@
     time::{Duration, Instant},
 };
 
-const PATIENCE: Duration = Duration::from_mins(1);
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// How a disk behaves.
+/// The simulated state of a disk.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Mood {
-    Sound,
+enum DiskState {
+    Healthy,
     Full,
     SyncFails,
     Hangs,
 }
 
-/// A real disk whose behaviour a test can change.
+/// A folder on a real disk with a simulated state.
 #[derive(Clone)]
 struct Disk {
-    mood: Arc<(Mutex<Mood>, Condvar)>,
+    state: Arc<(Mutex<DiskState>, Condvar)>,
     folder: PathBuf,
 }
 
@@ -38,52 +38,54 @@
         let name = format!("sequoiawing-disks-{name}-{}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::remove_dir_all(&folder).ok();
-        let mood = Arc::new((Mutex::new(Mood::Sound), Condvar::new()));
-        Self { mood, folder }
+        let state = Arc::new((Mutex::new(DiskState::Healthy), Condvar::new()));
+        Self { state, folder }
     }
 
-    fn set(&self, mood: Mood) {
-        *self.mood.0.lock().expect("no panic") = mood;
-        self.mood.1.notify_all();
+    fn set(&self, state: DiskState) {
+        *self.state.0.lock().expect("the mutex is not poisoned") = state;
+        self.state.1.notify_all();
     }
 
-    fn place(&self) -> StoragePlace {
+    fn open(&self) -> ReplicaStorage {
         let limits = StorageLimits::default();
         let storage = DiskStorage::open(&self.folder, ReplicaId(1), limits);
         let disk = self.clone();
-        let inner = storage.expect("the folder opens");
-        StoragePlace {
+        let inner = storage.expect("the folder can be opened");
+        ReplicaStorage {
             id: inner.id(),
-            storage: Box::new(MoodyStorage { disk, inner }),
+            log: Box::new(FaultyStorage { disk, inner }),
         }
     }
 }
 
-impl Drop for MoodyStorage {
+impl Drop for FaultyStorage {
     fn drop(&mut self) {
         fs::remove_dir_all(&self.disk.folder).ok();
     }
 }
 
-struct MoodyStorage {
+struct FaultyStorage {
     disk: Disk,
     inner: DiskStorage,
 }
 
-impl LogStorage for MoodyStorage {
+impl LogStorage for FaultyStorage {
     fn write(&mut self, writes: &[Write]) -> Result<(), StorageError> {
-        let (mood, changed) = &*self.disk.mood;
-        let mood = mood.lock().expect("no panic");
-        let hangs = |mood: &mut Mood| *mood == Mood::Hangs;
-        let mood = changed.wait_while(mood, hangs).expect("no panic");
+        let (state, changed) = &*self.disk.state;
+        let state = state.lock().expect("the mutex is not poisoned");
+        let hangs = |state: &mut DiskState| *state == DiskState::Hangs;
+        let state = changed
+            .wait_while(state, hangs)
+            .expect("the mutex is not poisoned");
         let file = self.disk.folder.clone();
-        match *mood {
-            Mood::Full => Err(StorageError::Full { file }),
-            Mood::SyncFails => {
-                let source = io::Error::other("planted");
+        match *state {
+            DiskState::Full => Err(StorageError::Full { file }),
+            DiskState::SyncFails => {
+                let source = io::Error::other("injected fault");
                 Err(StorageError::Sync { file, source })
             }
-            Mood::Sound | Mood::Hangs => self.inner.write(writes),
+            DiskState::Healthy | DiskState::Hangs => self.inner.write(writes),
         }
     }
 
@@ -108,8 +110,8 @@
         secret: "secret-of-the-tests".to_owned(),
         ..ControllerSettings::default()
     };
-    let started = Controller::start_on(settings, disk.place()).await;
-    started.expect("it starts")
+    let started = Controller::start_with_storage(settings, disk.open()).await;
+    started.expect("the controller starts")
 }
 
 async fn wait_for<F>(handle: &ControllerHandle, condition: F) -> ControlStatus
@@ -123,8 +125,8 @@
             return status;
         }
         assert!(
-            start.elapsed() < PATIENCE,
-            "it never came about: {status:?}"
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for the status; last status: {status:?}"
         );
         sleep(Duration::from_millis(10)).await;
     }
@@ -141,25 +143,28 @@
         let controller = start(&disk).await;
         let handle = controller.handle();
         assert!(is_accepted(&handle.propose(&edit("before")).await));
-        disk.set(Mood::Full);
+        disk.set(DiskState::Full);
         let answer = handle.propose(&edit("during")).await;
         assert_eq!(
             answer,
             Err(ControlError::Uncertain),
-            "its fate is not known"
+            "it is unknown whether the command was committed"
         );
         let status = wait_for(&handle, |s| s.role == "failed").await;
         assert!(status.disk.contains("the disk is full"), "{}", status.disk);
-        assert!(handle.leadership().is_none(), "no lease without a disk");
+        assert!(
+            handle.leadership().is_none(),
+            "a controller without a working disk must not hold a lease"
+        );
         let answer = handle.propose(&edit("later")).await;
         assert!(
             matches!(answer, Err(ControlError::Storage(_))),
             "{answer:?}"
         );
-        disk.set(Mood::Sound);
+        disk.set(DiskState::Healthy);
         wait_for(&handle, |s| s.role == "leader").await;
         assert!(is_accepted(&handle.propose(&edit("after")).await));
-        let tables = handle.read().await.expect("it leads");
+        let tables = handle.read().await.expect("the controller leads");
         assert!(tables.customers.contains_key("before"));
         assert!(tables.customers.contains_key("after"));
         assert!(!tables.customers.contains_key("later"));
@@ -168,15 +173,15 @@
 }
 
 #[test]
-fn a_failed_sync_keeps_the_host_out() {
+fn a_controller_stays_failed_after_a_failed_sync() {
     run(async {
         let disk = Disk::new("sync");
         let controller = start(&disk).await;
         let handle = controller.handle();
-        disk.set(Mood::SyncFails);
+        disk.set(DiskState::SyncFails);
         let answer = handle.propose(&edit("during")).await;
         assert_eq!(answer, Err(ControlError::Uncertain));
-        disk.set(Mood::Sound);
+        disk.set(DiskState::Healthy);
         sleep(Duration::from_secs(2)).await;
         let status = wait_for(&handle, |s| s.role == "failed").await;
         assert!(
@@ -189,26 +194,29 @@
 }
 
 #[test]
-fn a_hanging_disk_gives_up_its_lead_and_says_so() {
+fn a_hanging_disk_ends_leadership_and_is_reported() {
     run(async {
         let disk = Disk::new("hangs");
         let controller = start(&disk).await;
         let handle = controller.handle();
-        disk.set(Mood::Hangs);
+        disk.set(DiskState::Hangs);
         let answer = handle.propose(&edit("during")).await;
         assert_eq!(
             answer,
             Err(ControlError::Uncertain),
-            "its fate is not known"
+            "it is unknown whether the command was committed"
         );
         wait_for(&handle, |s| s.disk == "slow").await;
-        assert!(handle.leadership().is_none(), "no lease on a hanging disk");
+        assert!(
+            handle.leadership().is_none(),
+            "a controller whose disk hangs must not hold a lease"
+        );
         let answer = handle.propose(&edit("later")).await;
         assert!(
             matches!(answer, Err(ControlError::NotLeader { .. })),
             "{answer:?}"
         );
-        disk.set(Mood::Sound);
+        disk.set(DiskState::Healthy);
         wait_for(&handle, |s| s.role == "leader").await;
         assert!(is_accepted(&handle.propose(&edit("after")).await));
         controller.stop().await;
@@ -223,16 +231,16 @@
         let handle = controller.handle();
         assert!(is_accepted(&handle.propose(&edit("before")).await));
         let revision = handle.tables().revision;
-        disk.set(Mood::Full);
+        disk.set(DiskState::Full);
         handle
             .propose(&edit("during"))
             .await
-            .expect_err("it is full");
-        disk.set(Mood::Sound);
+            .expect_err("the disk is full");
+        disk.set(DiskState::Healthy);
         wait_for(&handle, |s| s.role == "leader").await;
         assert!(
             handle.tables().revision >= revision,
-            "revisions never go back"
+            "published revisions must not decrease"
         );
         controller.stop().await;
     });
--- a/crates/sequoiawing_hub/src/hub.rs
+++ b/crates/sequoiawing_hub/src/hub.rs
@@ -366,7 +366,11 @@
         spawn(shutdown.clone().cancel(async move {
             let mut revision = watching.handle.tables().revision;
             loop {
-                if let Some(tables) = watching.handle.newer(revision, REVISION_WAIT).await {
+                if let Some(tables) = watching
+                    .handle
+                    .wait_for_newer(revision, REVISION_WAIT)
+                    .await
+                {
                     revision = tables.revision;
                     watching.stir();
                 }
