--- a/crates/sequoiawing_settings/src/lib.rs
+++ b/crates/sequoiawing_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads JSON settings and reports every finding with its place.
+//! Reads settings from JSON and reports every finding with its place in the text.
 //!
-//! A daemon refuses to start on a setting that it does not know, because a
-//! misspelt name would otherwise silently keep its default.
+//! Unknown fields are errors: a misspelt field would otherwise silently keep its
+//! default.
 
 mod parse;
 
@@ -12,25 +12,25 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Settings that can look over their own values after parsing.
+/// Validation of settings after they were parsed.
 pub trait Check {
-    /// Adds a finding for each value that cannot work.
+    /// Adds a finding for each invalid value.
     fn check(&self, findings: &mut Findings);
 }
 
-/// Reads settings from a JSON file.
+/// Reads and validates settings from a JSON file.
 ///
 /// # Errors
 ///
-/// Returns every finding, its place beginning with the file: an unreadable file,
-/// syntax and type errors with their path, each unknown field, and what
-/// [`Check::check`] adds.
+/// Returns all findings, each with a place that starts with the path of the file:
+/// a failure to read the file, syntax and type errors, unknown fields, and the
+/// findings of [`Check::check`].
 pub fn read_file<S>(path: &Path) -> Result<S, Findings>
 where
     S: Check + DeserializeOwned,
 {
     let place = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| single(&place, &e.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(|e| single_finding(&place, &e.to_string()))?;
     let (settings, mut findings) = parse_all::<S>(&place, &text);
     let Some(settings) = settings else {
         return Err(findings);
@@ -44,7 +44,7 @@
     Ok(settings)
 }
 
-fn single(place: &str, problem: &str) -> Findings {
+fn single_finding(place: &str, problem: &str) -> Findings {
     let mut findings = Findings::default();
     findings.push(place, problem);
     findings
