--- a/crates/sequoiawing_hub/src/hub.rs
+++ b/crates/sequoiawing_hub/src/hub.rs
@@ -363,7 +363,7 @@
             spawn(loader::run(state.clone(), ordering, shutdown.clone())).detach();
         }
         let watching = state.clone();
-        spawn(shutdown.clone().cancel(async move {
+        spawn(shutdown.clone().run_until_shutdown(async move {
             let mut revision = watching.handle.tables().revision;
             loop {
                 if let Some(tables) = watching
--- a/crates/sequoiawing_runtime/src/clock.rs
+++ b/crates/sequoiawing_runtime/src/clock.rs
@@ -1,17 +1,17 @@
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// A monotonic clock that counts from its own creation.
+/// A monotonic clock that measures the time since its creation.
 ///
-/// It counts the time in which the machine was suspended as well, so that a
-/// lease has run out when a suspended process wakes up.
+/// The clock includes the time during which the machine is suspended, so that a
+/// lease has expired when a suspended process resumes.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Duration,
 }
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Creates a clock that starts at zero.
     pub fn start() -> Self {
         let origin = boot_time();
         Self { origin }
--- a/crates/sequoiawing_runtime/src/executor.rs
+++ b/crates/sequoiawing_runtime/src/executor.rs
@@ -7,8 +7,9 @@
 static EXECUTOR: Executor<'static> = Executor::new();
 static WORKERS: OnceLock<()> = OnceLock::new();
 
-/// The number of executor threads when a process names none.
-const DEFAULT_THREADS: usize = 4;
+/// The maximum number of executor threads, and the number used if the available
+/// parallelism is unknown.
+const MAX_THREADS: usize = 4;
 
 /// Spawns a task on the process-wide executor.
 pub fn spawn<F>(work: F) -> Task<F::Output>
@@ -20,7 +21,8 @@
     EXECUTOR.spawn(work)
 }
 
-/// Runs `work` to its end on the calling thread, beside the executor threads.
+/// Blocks the calling thread until `work` completes, while the executor threads
+/// run spawned tasks.
 pub fn run<F>(work: F) -> F::Output
 where
     F: Future,
@@ -30,11 +32,11 @@
 }
 
 fn start_workers() {
-    let available = thread::available_parallelism().map_or(DEFAULT_THREADS, usize::from);
-    for i in 0..available.min(DEFAULT_THREADS) {
+    let threads = thread::available_parallelism().map_or(MAX_THREADS, usize::from);
+    for i in 0..threads.min(MAX_THREADS) {
         thread::Builder::new()
             .name(format!("worker-{i}"))
             .spawn(|| async_io::block_on(EXECUTOR.run(std::future::pending::<()>())))
-            .expect("the operating system starts a thread");
+            .expect("failed to start an executor thread");
     }
 }
--- a/crates/sequoiawing_runtime/src/lib.rs
+++ b/crates/sequoiawing_runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! Executor threads, timers and shutdown for the daemons.
 //!
 //! One process-wide executor runs on a fixed number of threads. Daemons spawn
-//! tasks on it and wait for a [`Shutdown`] to end them in order.
+//! tasks on it, and a [`Shutdown`] signal ends these tasks.
 
 mod clock;
 mod executor;
@@ -21,7 +21,7 @@
     async_io::Timer::after(span).await;
 }
 
-/// Waits for `work`, or returns `None` after `span`.
+/// Waits for `work` at most for `span`. Returns `None` and drops `work` on timeout.
 pub async fn timeout<F>(span: Duration, work: F) -> Option<F::Output>
 where
     F: Future,
--- a/crates/sequoiawing_runtime/src/shutdown.rs
+++ b/crates/sequoiawing_runtime/src/shutdown.rs
@@ -2,9 +2,9 @@
 use futures_lite::{FutureExt, StreamExt};
 use std::{future::Future, io};
 
-/// A signal that every part of a daemon can wait for.
+/// A shutdown signal for all tasks of a daemon.
 ///
-/// Clones share the signal. It is given once and never taken back.
+/// Clones share the signal. Once given, it cannot be reset.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     sender: async_channel::Sender<()>,
@@ -12,7 +12,7 @@
 }
 
 impl Shutdown {
-    /// Returns a signal that has not been given.
+    /// Creates a signal that has not been given.
     pub fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
         Self { sender, receiver }
@@ -23,7 +23,7 @@
         self.sender.close();
     }
 
-    /// Reports whether the signal was given.
+    /// Returns `true` if the signal was given.
     pub fn is_started(&self) -> bool {
         self.receiver.is_closed()
     }
@@ -31,10 +31,11 @@
     /// Waits until the signal is given.
     pub async fn wait(&self) {
         let closed = self.receiver.recv().await;
-        debug_assert!(closed.is_err(), "nothing is ever sent");
+        debug_assert!(closed.is_err(), "the channel only signals by being closed");
     }
 
-    /// Runs `work` until it ends or the signal is given, whichever is first.
+    /// Runs `work` until it completes or the signal is given. Returns `None` in the
+    /// second case.
     pub async fn or<F>(&self, work: F) -> Option<F::Output>
     where
         F: Future,
@@ -46,8 +47,8 @@
         stopped.or(async { Some(work.await) }).await
     }
 
-    /// Runs `work`, which has no end of its own, until the signal is given.
-    pub async fn cancel<F>(self, work: F)
+    /// Runs `work`, typically an endless loop, until the signal is given.
+    pub async fn run_until_shutdown<F>(self, work: F)
     where
         F: Future<Output = ()>,
     {
@@ -65,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the signals cannot be watched.
+/// Returns an error if the signal handlers cannot be installed.
 pub async fn wait_for_signal() -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     signals.next().await.transpose()?;
--- a/crates/sequoiawing_runtime/src/watch.rs
+++ b/crates/sequoiawing_runtime/src/watch.rs
@@ -2,7 +2,7 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-/// A shared value whose readers can wait for the next change.
+/// A shared value whose readers can wait for changes.
 ///
 /// Clones share the value.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
 where
     T: Clone,
 {
-    /// Returns a watch that holds `value`.
+    /// Creates a watch with an initial value.
     pub fn new(value: T) -> Self {
         let value = Mutex::new(value);
         let changed = Event::new();
@@ -33,13 +33,13 @@
         self.inner.value.lock().clone()
     }
 
-    /// Replaces the value and wakes all who wait.
+    /// Replaces the value and wakes all waiting tasks.
     pub fn set(&self, value: T) {
         *self.inner.value.lock() = value;
         self.inner.changed.notify(usize::MAX);
     }
 
-    /// Waits until the value meets the condition and returns a copy of it.
+    /// Waits until the value satisfies `condition`, and returns a copy of it.
     pub async fn wait_until<F>(&self, condition: F) -> T
     where
         F: Fn(&T) -> bool,
