--- a/crates/sequoiawing_gateway/src/daemon.rs
+++ b/crates/sequoiawing_gateway/src/daemon.rs
@@ -3,7 +3,7 @@
 use sequoiawing_http::{Body, Handler, HttpListener, HttpSettings, from_bytes};
 use sequoiawing_router::{Chain, Code, Refused};
 use sequoiawing_runtime::{Shutdown, Task, sleep, spawn};
-use sequoiawing_telemetry::{Asked, serve_metrics};
+use sequoiawing_telemetry::{RequestAttributes, serve_metrics};
 use std::{
     io,
     net::SocketAddr,
@@ -177,12 +177,12 @@
             }
         };
         if let Some(meters) = &state.meters {
-            let asked = Asked {
+            let asked = RequestAttributes {
                 customer: exchange.customer().into(),
                 route: exchange.route.name.clone(),
                 model: exchange.call.model.clone().unwrap_or_default(),
             };
-            meters.answered(&asked, response.status().as_u16(), took);
+            meters.record_response(&asked, response.status().as_u16(), took);
         }
         response
     }
--- a/crates/sequoiawing_router/src/controllers/measure.rs
+++ b/crates/sequoiawing_router/src/controllers/measure.rs
@@ -35,7 +35,7 @@
         meters.set_state(status.revision.0, leading);
         if leading {
             for pool in self.idle_runners() {
-                meters.idled(&pool, INTERVAL);
+                meters.record_idle_time(&pool, INTERVAL);
             }
         }
     }
--- a/crates/sequoiawing_router/src/filters/limit.rs
+++ b/crates/sequoiawing_router/src/filters/limit.rs
@@ -106,7 +106,7 @@
             0
         };
         if let (Some(meters), Some(held)) = (&self.state.meters, &self.reservation) {
-            meters.served(&held.customer, used);
+            meters.record_served_tokens(&held.customer, used);
         }
         if let Some(reservation) = self.reservation.take() {
             self.state
--- a/crates/sequoiawing_router/src/filters/measure.rs
+++ b/crates/sequoiawing_router/src/filters/measure.rs
@@ -1,7 +1,7 @@
 use crate::{Answer, Code, Exchange, Filter, Next, Refused, RouterState};
 use hyper::Response;
 use sequoiawing_http::Body;
-use sequoiawing_telemetry::{Asked, Within};
+use sequoiawing_telemetry::{RequestAttributes, WithinRate};
 use std::sync::Arc;
 
 /// Measures how long answers take to begin, and counts refusals.
@@ -21,19 +21,19 @@
         let asked = asked(exchange);
         let took = self.state.now() - exchange.arrival;
         match answer {
-            Ok(response) => meters.answered(&asked, response.status().as_u16(), took),
+            Ok(response) => meters.record_response(&asked, response.status().as_u16(), took),
             Err(refused) => {
-                meters.answered(&asked, refused.code.status().as_u16(), took);
+                meters.record_response(&asked, refused.code.status().as_u16(), took);
                 let code = serde_json::to_string(&refused.code).unwrap_or_default();
                 let within = within_rate(exchange, refused.code);
-                meters.refused(&asked, code.trim_matches('"'), within);
+                meters.record_refusal(&asked, code.trim_matches('"'), within);
             }
         }
     }
 }
 
-fn asked(exchange: &Exchange) -> Asked {
-    Asked {
+fn asked(exchange: &Exchange) -> RequestAttributes {
+    RequestAttributes {
         customer: exchange.customer_name(),
         route: exchange.route.name.clone(),
         model: exchange.model.clone().unwrap_or_default(),
@@ -42,15 +42,15 @@
 
 /// Says whether a refused request was within its customer's rate; those that
 /// were refused before the budget was asked are not known to be.
-fn within_rate(exchange: &Exchange, code: Code) -> Within {
+fn within_rate(exchange: &Exchange, code: Code) -> WithinRate {
     match code {
-        Code::RateLimited => Within::No,
+        Code::RateLimited => WithinRate::No,
         Code::TooLate | Code::Overloaded | Code::NoUpstream | Code::UpstreamFailed
             if exchange.customer.is_some() =>
         {
-            Within::Yes
+            WithinRate::Yes
         }
-        _ => Within::Unknown,
+        _ => WithinRate::Unknown,
     }
 }
 
@@ -107,7 +107,7 @@
         Box::pin(async move {
             let answer = next.run(exchange).await;
             let took = self.state.now() - exchange.arrival;
-            meters.cold_started(&asked(exchange), answer.is_ok(), took);
+            meters.record_cold_start(&asked(exchange), answer.is_ok(), took);
             answer
         })
     }
--- a/crates/sequoiawing_telemetry/src/lib.rs
+++ b/crates/sequoiawing_telemetry/src/lib.rs
@@ -1,9 +1,9 @@
 //! Logs and metrics of the daemons.
 //!
-//! Each part logs short sentences under a fixed prefix, its log target, so that
-//! an operator can filter by part; a fault that repeats is logged a few times
-//! and then counted. Metrics have the names and units of the OpenTelemetry
-//! conventions and are scraped over HTTP. See
+//! Each component logs under a fixed log target, so that operators can filter by
+//! component. Repeated log lines are rate-limited, and the suppressed ones are
+//! counted. Metrics follow the OpenTelemetry conventions for names and units, and
+//! are scraped over HTTP. See
 //! [docs/OPERATORS.md](../../../docs/OPERATORS.md).
 
 mod listener;
@@ -12,6 +12,6 @@
 mod throttle;
 
 pub use listener::serve_metrics;
-pub use logs::{LogFormat, finish_logging, start_logging};
-pub use meters::{Asked, MeterError, Meters, Within};
-pub use throttle::{Admitted, Throttle, ThrottleSettings};
+pub use logs::{LogFormat, flush_logs, start_logging};
+pub use meters::{MeterError, Meters, RequestAttributes, WithinRate};
+pub use throttle::{Admission, Throttle, ThrottleSettings};
--- a/crates/sequoiawing_telemetry/src/listener.rs
+++ b/crates/sequoiawing_telemetry/src/listener.rs
@@ -8,7 +8,7 @@
 use sequoiawing_runtime::{Shutdown, spawn};
 use std::{io, net::SocketAddr, sync::Arc};
 
-/// The path that scrapers ask for.
+/// The path at which metrics are scraped.
 const METRICS_PATH: &str = "/metrics";
 
 struct MetricsHandler {
@@ -35,13 +35,14 @@
     response
 }
 
-/// Answers scrapes at `/metrics` until shutdown, and returns the bound address.
+/// Serves metrics at `/metrics` until shutdown, and returns the bound address.
 ///
-/// The address is internal: nothing is asked of those who connect.
+/// Requests are not authenticated, so `address` must be internal.
 ///
 /// # Errors
 ///
-/// Returns the error of the operating system when the address is taken.
+/// Returns an error if the address cannot be bound, for example because it is in
+/// use.
 pub async fn serve_metrics(
     address: SocketAddr,
     meters: Arc<Meters>,
--- a/crates/sequoiawing_telemetry/src/logs.rs
+++ b/crates/sequoiawing_telemetry/src/logs.rs
@@ -1,4 +1,4 @@
-use crate::{Admitted, Throttle, ThrottleSettings};
+use crate::{Admission, Throttle, ThrottleSettings};
 use logforth::{
     Append, Diagnostic, Error,
     append::{Stdout, asynchronous::AsyncBuilder},
@@ -14,30 +14,31 @@
     time::{Duration, Instant},
 };
 
-/// What is logged: all parts from `info` on, but for the calls between
-/// processes, which would be several lines a second.
+/// The log filter: `info` and above, except for calls between processes, which
+/// would log several lines a second at `info`.
 const FILTER: &str = "info,tarpc=warn";
 
-/// The shape of a log line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LogFormat {
-    /// A line for people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// A JSON object for collectors.
+    /// One JSON object per line, for log collectors.
     Json,
 }
 
-/// The lines that may wait to be written; more are dropped, so that a slow
-/// reader of the logs never holds up a request.
-const WAITING_LINES: usize = 4_096;
+/// The maximum number of buffered log lines. Further lines are dropped, so that a
+/// slow log reader never blocks a request.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
 /// Starts logging to standard output at level `info` and above.
 ///
-/// Warnings and errors of one place are shown a few times in ten seconds, other
-/// lines some hundred times a second; the next one shown says how many were
-/// left out. Nothing waits for the reader of the logs. A second call in one process
-/// keeps the first set-up, so that the embedded demo can host several daemons.
+/// Lines are rate-limited per log statement: warnings and errors to a few in ten
+/// seconds, other lines to a few hundred a second. The next line of the statement
+/// gives the number of suppressed lines. Logging never blocks on the log reader.
+/// Further calls in the same process have no effect, so that the embedded demo can
+/// host several daemons.
 pub fn start_logging(format: LogFormat) {
     let stdout = match format {
         LogFormat::Text => Stdout::default().with_layout(TextLayout::default().no_color()),
@@ -46,9 +47,9 @@
     let builder = logforth::starter_log::builder();
     let filter = RustLogFilterBuilder::from_spec(FILTER).build();
     let append = AsyncBuilder::new("logs")
-        .buffered_lines_limit(Some(WAITING_LINES))
+        .buffered_lines_limit(Some(MAX_BUFFERED_LINES))
         .overflow_drop_incoming()
-        .append(Throttled::new(stdout))
+        .append(ThrottledAppend::new(stdout))
         .build();
     let applied = builder
         .dispatch(|d| d.filter(filter).append(append))
@@ -58,73 +59,80 @@
     }
 }
 
-/// How long the end of a process waits for lines that are not written yet; a
-/// reader that stands still must not hold it up.
-const LAST_LINES_LIMIT: Duration = Duration::from_millis(500);
+/// How long [`flush_logs`] waits. A stalled log reader must not block the exit
+/// of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Writes the lines that still wait, such as the one that says how a process
-/// ended, as far as the reader of the logs takes them at once.
-pub fn finish_logging() {
-    let (sender, written) = mpsc::channel();
+/// Writes the buffered lines, for example the reason why the process exits.
+///
+/// Gives up after 500 ms if the log reader has stalled.
+pub fn flush_logs() {
+    let (sender, flushed) = mpsc::channel();
     thread::spawn(move || {
         log::logger().flush();
         sender.send(()).ok();
     });
-    if written.recv_timeout(LAST_LINES_LIMIT).is_err() {
-        eprintln!("The last log lines may be lost: their reader does not take them.");
+    if flushed.recv_timeout(FLUSH_TIMEOUT).is_err() {
+        eprintln!(
+            "Log lines may be lost: standard output did not accept them within {FLUSH_TIMEOUT:?}."
+        );
     }
 }
 
-/// The target and line of a log statement.
-type Place = (String, Option<u32>);
+/// The target and source line of a log statement.
+type Callsite = (String, Option<u32>);
 
-/// The lines of one place, other than warnings and errors, that are shown in
-/// ten seconds: some for each request of a busy host, and bounded in a flood.
-const PLACE_LINES: u32 = 3_000;
+/// The maximum number of lines below `warn` that one log statement writes in ten
+/// seconds. It allows several lines for each request on a busy host, but limits
+/// bursts.
+const MAX_CALLSITE_LINES: u32 = 3_000;
 
-/// Leaves out lines that repeat.
+/// A log appender that rate-limits repeated lines.
 #[derive(Debug)]
-struct Throttled {
+struct ThrottledAppend {
     inner: Stdout,
-    faults: Mutex<Throttle<Place>>,
-    lines: Mutex<Throttle<Place>>,
+    faults: Mutex<Throttle<Callsite>>,
+    lines: Mutex<Throttle<Callsite>>,
     start: Instant,
 }
 
-impl Throttled {
+impl ThrottledAppend {
     fn new(inner: Stdout) -> Self {
-        let bounds = ThrottleSettings::default();
+        let settings = ThrottleSettings::default();
         let lines = ThrottleSettings {
-            burst: PLACE_LINES,
-            ..bounds.clone()
+            burst: MAX_CALLSITE_LINES,
+            ..settings.clone()
         };
         Self {
             inner,
-            faults: Mutex::new(Throttle::new(bounds)),
+            faults: Mutex::new(Throttle::new(settings)),
             lines: Mutex::new(Throttle::new(lines)),
             start: Instant::now(),
         }
     }
 
-    fn admit(&self, record: &Record<'_>) -> Admitted {
+    fn admit(&self, record: &Record<'_>) -> Admission {
         let throttle = if record.level() < Level::Warn {
             &self.lines
         } else {
             &self.faults
         };
-        let place = (record.target().to_owned(), record.line());
+        let callsite = (record.target().to_owned(), record.line());
         let now = Time::ZERO + self.start.elapsed();
-        throttle.lock().admit(now, place)
+        throttle.lock().admit(now, callsite)
     }
 }
 
-impl Append for Throttled {
+impl Append for ThrottledAppend {
     fn append(&self, record: &Record<'_>, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         match self.admit(record) {
-            Admitted::Omitted => Ok(()),
-            Admitted::Shown { omitted: 0 } => self.inner.append(record, diags),
-            Admitted::Shown { omitted } => {
-                let text = format!("{} ({omitted} like it were left out.)", record.payload());
+            Admission::Suppressed => Ok(()),
+            Admission::Allowed { suppressed: 0 } => self.inner.append(record, diags),
+            Admission::Allowed { suppressed } => {
+                let text = format!(
+                    "{} ({suppressed} similar lines were suppressed.)",
+                    record.payload()
+                );
                 let builder = record.to_builder();
                 self.inner
                     .append(&builder.payload(format_args!("{text}")).build(), diags)
--- a/crates/sequoiawing_telemetry/src/meters.rs
+++ b/crates/sequoiawing_telemetry/src/meters.rs
@@ -8,41 +8,40 @@
 use std::{fmt, time::Duration};
 use thiserror::Error;
 
-/// The bounds of the buckets for durations, in seconds, as the conventions for
-/// HTTP servers have them, with longer ones for cold starts.
+/// The histogram bounds for durations, in seconds: those that the OpenTelemetry
+/// conventions recommend for HTTP servers, and longer ones for cold starts.
 const DURATION_BOUNDS: [f64; 16] = [
     0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.25, 0.5, 0.75, 1.0, 2.5, 5.0, 7.5, 10.0, 30.0, 60.0,
 ];
 
-/// Why metrics cannot be collected.
+/// An error that prevents the collection of metrics.
 #[derive(Debug, Error)]
 #[error("metrics cannot be collected: {0}")]
 pub struct MeterError(String);
 
-/// A request as metrics name it.
+/// The metric attributes of a request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Asked {
-    /// The customer.
+pub struct RequestAttributes {
+    /// The name of the customer.
     pub customer: Name,
-    /// The route.
+    /// The name of the route.
     pub route: Name,
-    /// The model; empty for plain services.
+    /// The name of the model; empty for requests without one.
     pub model: Name,
 }
 
-/// Whether a refused request was within its customer's rate, as far as the
-/// process can tell.
+/// Whether a refused request was within the rate limit of its customer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Within {
-    /// It was refused for another reason than the rate.
+pub enum WithinRate {
+    /// The request was refused for another reason than the rate limit.
     Yes,
-    /// The budget refused it.
+    /// The request exceeded the budget of the customer.
     No,
-    /// No budget was asked.
+    /// The budget was not checked.
     Unknown,
 }
 
-impl Within {
+impl WithinRate {
     fn as_str(self) -> &'static str {
         match self {
             Self::Yes => "yes",
@@ -52,7 +51,7 @@
     }
 }
 
-/// The measures of one process.
+/// The metrics of one process.
 pub struct Meters {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -69,11 +68,11 @@
 }
 
 impl Meters {
-    /// Returns the measures of a process on a host of a data centre.
+    /// Creates the metrics of the process `service` on `host` in data centre `centre`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the exporter cannot be set up.
+    /// Returns an error if the exporter cannot be set up.
     pub fn new(service: &'static str, host: &Name, centre: &Name) -> Result<Self, MeterError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -95,17 +94,17 @@
         Ok(Self {
             registry,
             _provider: provider,
-            request: durations(
+            request: duration_histogram(
                 &meter,
                 "http.server.request.duration",
                 "Duration until the answer of a request begins",
             ),
-            cold_start: durations(
+            cold_start: duration_histogram(
                 &meter,
                 "sequoiawing.cold_start.duration",
                 "Duration until the answer begins of a request whose model was not loaded",
             ),
-            idle: seconds(
+            idle: seconds_counter(
                 &meter,
                 "sequoiawing.accelerator.idle_time",
                 "Time that runners held models and ran nothing",
@@ -130,63 +129,64 @@
         })
     }
 
-    /// Notes that the answer of a request began, with its status.
-    pub fn answered(&self, asked: &Asked, status: u16, took: Duration) {
+    /// Records the time from the arrival of a request to the start of its response,
+    /// labelled with the status code.
+    pub fn record_response(&self, request: &RequestAttributes, status: u16, took: Duration) {
         let status = KeyValue::new("http.response.status_code", i64::from(status));
-        let attributes = [attributes(asked).as_slice(), &[status]].concat();
+        let attributes = [attributes(request).as_slice(), &[status]].concat();
         self.request.record(took.as_secs_f64(), &attributes);
     }
 
-    /// Notes that the answer of a request began whose model was not loaded when
-    /// it arrived, or that it was refused.
-    pub fn cold_started(&self, asked: &Asked, served: bool, took: Duration) {
+    /// Records the time to the response or refusal of a request whose model was not
+    /// loaded when it arrived.
+    pub fn record_cold_start(&self, request: &RequestAttributes, served: bool, took: Duration) {
         let served = KeyValue::new("sequoiawing.served", served);
-        let attributes = [attributes(asked).as_slice(), &[served]].concat();
+        let attributes = [attributes(request).as_slice(), &[served]].concat();
         self.cold_start.record(took.as_secs_f64(), &attributes);
     }
 
-    /// Notes that a customer was served so many tokens.
-    pub fn served(&self, customer: &Name, tokens: u64) {
+    /// Adds tokens served to a customer.
+    pub fn record_served_tokens(&self, customer: &Name, tokens: u64) {
         let customer = KeyValue::new("sequoiawing.customer", customer.to_string());
         self.service.add(tokens, &[customer]);
     }
 
-    /// Notes that a request was refused.
-    pub fn refused(&self, asked: &Asked, code: &str, within: Within) {
+    /// Counts a refused request.
+    pub fn record_refusal(&self, request: &RequestAttributes, code: &str, within: WithinRate) {
         let code = KeyValue::new("error.type", code.to_owned());
         let within = KeyValue::new("sequoiawing.within_rate", within.as_str());
-        let attributes = [attributes(asked).as_slice(), &[code, within]].concat();
+        let attributes = [attributes(request).as_slice(), &[code, within]].concat();
         self.refused.add(1, &attributes);
     }
 
-    /// Notes that a runner held models and ran nothing for a while.
-    pub fn idled(&self, pool: &Name, span: Duration) {
+    /// Adds time during which a runner held models but ran no requests.
+    pub fn record_idle_time(&self, pool: &Name, span: Duration) {
         let pool = KeyValue::new("sequoiawing.pool", pool.to_string());
         self.idle.add(span.as_secs_f64(), &[pool]);
     }
 
-    /// Notes the upstreams that are alive.
+    /// Sets the number of live upstreams.
     pub fn set_upstreams(&self, count: usize) {
-        self.upstreams.record(whole(count), &[]);
+        self.upstreams.record(to_u64(count), &[]);
     }
 
-    /// Notes the requests that wait and that are being served.
+    /// Sets the numbers of waiting and active requests.
     pub fn set_requests(&self, waiting: usize, active: usize) {
-        self.waiting.record(whole(waiting), &[]);
-        self.active.record(whole(active), &[]);
+        self.waiting.record(to_u64(waiting), &[]);
+        self.active.record(to_u64(active), &[]);
     }
 
-    /// Notes the revision in force and whether this host leads.
+    /// Sets the current revision and whether this host leads.
     pub fn set_state(&self, revision: u64, leading: bool) {
         self.revision.record(revision, &[]);
         self.leading.record(u64::from(leading), &[]);
     }
 
-    /// Writes all measures in the text form of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Returns an error when they cannot be written.
+    /// Returns an error if the metrics cannot be encoded.
     pub fn scrape(&self) -> Result<String, MeterError> {
         let encoder = TextEncoder::new();
         encoder
@@ -201,15 +201,15 @@
     }
 }
 
-fn attributes(asked: &Asked) -> [KeyValue; 3] {
+fn attributes(request: &RequestAttributes) -> [KeyValue; 3] {
     [
-        KeyValue::new("sequoiawing.customer", asked.customer.to_string()),
-        KeyValue::new("http.route", asked.route.to_string()),
-        KeyValue::new("gen_ai.request.model", asked.model.to_string()),
+        KeyValue::new("sequoiawing.customer", request.customer.to_string()),
+        KeyValue::new("http.route", request.route.to_string()),
+        KeyValue::new("gen_ai.request.model", request.model.to_string()),
     ]
 }
 
-fn durations(meter: &Meter, name: &'static str, help: &'static str) -> Histogram<f64> {
+fn duration_histogram(meter: &Meter, name: &'static str, help: &'static str) -> Histogram<f64> {
     meter
         .f64_histogram(name)
         .with_unit("s")
@@ -218,7 +218,7 @@
         .build()
 }
 
-fn seconds(meter: &Meter, name: &'static str, help: &'static str) -> Counter<f64> {
+fn seconds_counter(meter: &Meter, name: &'static str, help: &'static str) -> Counter<f64> {
     meter
         .f64_counter(name)
         .with_unit("s")
@@ -243,6 +243,6 @@
     meter.u64_gauge(name).with_unit(unit).build()
 }
 
-fn whole(count: usize) -> u64 {
+fn to_u64(count: usize) -> u64 {
     u64::try_from(count).unwrap_or(u64::MAX)
 }
--- a/crates/sequoiawing_telemetry/src/throttle.rs
+++ b/crates/sequoiawing_telemetry/src/throttle.rs
@@ -1,12 +1,13 @@
 use sequoiawing_types::Time;
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
-/// The bounds of a [`Throttle`].
+/// The settings of a [`Throttle`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ThrottleSettings {
-    /// How many records of one place are shown in one interval.
+    /// The maximum number of records per key and interval.
     pub burst: u32,
-    /// How long until records of the place are shown again.
+    /// The length of an interval. It starts with the first record of a key after
+    /// the previous interval.
     pub interval: Duration,
 }
 
@@ -19,60 +20,61 @@
     }
 }
 
-/// What becomes of a record.
+/// The decision on a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Admitted {
-    /// It is shown, after so many of its place that were not.
-    Shown {
-        /// The records of the place that were left out since the last shown.
-        omitted: u64,
+pub enum Admission {
+    /// The record is written.
+    Allowed {
+        /// The number of records of the same key that were suppressed since the
+        /// last one that was written.
+        suppressed: u64,
     },
-    /// It is left out and counted.
-    Omitted,
+    /// The record is dropped and counted.
+    Suppressed,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Spell {
+struct Window {
     start: Time,
-    shown: u32,
-    omitted: u64,
+    allowed: u32,
+    suppressed: u64,
 }
 
-/// Bounds how often records of one place are shown, so that a fault which
-/// repeats does not bury the others.
+/// Limits the rate of records per key, so that a repeated fault does not drown out
+/// other records.
 #[derive(Debug)]
-pub struct Throttle<P> {
+pub struct Throttle<K> {
     settings: ThrottleSettings,
-    places: HashMap<P, Spell>,
+    windows: HashMap<K, Window>,
 }
 
-impl<P> Throttle<P>
+impl<K> Throttle<K>
 where
-    P: Eq + Hash,
+    K: Eq + Hash,
 {
-    /// Returns a throttle that has seen nothing.
+    /// Creates a throttle without records.
     pub fn new(settings: ThrottleSettings) -> Self {
-        let places = HashMap::new();
-        Self { settings, places }
+        let windows = HashMap::new();
+        Self { settings, windows }
     }
 
-    /// Decides whether a record of the place is shown.
-    pub fn admit(&mut self, now: Time, place: P) -> Admitted {
-        let spell = self.places.entry(place).or_insert(Spell {
+    /// Decides whether to write a record with the given key, and counts it.
+    pub fn admit(&mut self, now: Time, key: K) -> Admission {
+        let window = self.windows.entry(key).or_insert(Window {
             start: now,
-            shown: 0,
-            omitted: 0,
+            allowed: 0,
+            suppressed: 0,
         });
-        if now.since(spell.start) >= self.settings.interval {
-            spell.start = now;
-            spell.shown = 0;
+        if now.since(window.start) >= self.settings.interval {
+            window.start = now;
+            window.allowed = 0;
         }
-        if spell.shown >= self.settings.burst {
-            spell.omitted += 1;
-            return Admitted::Omitted;
+        if window.allowed >= self.settings.burst {
+            window.suppressed += 1;
+            return Admission::Suppressed;
         }
-        spell.shown += 1;
-        let omitted = std::mem::take(&mut spell.omitted);
-        Admitted::Shown { omitted }
+        window.allowed += 1;
+        let suppressed = std::mem::take(&mut window.suppressed);
+        Admission::Allowed { suppressed }
     }
 }
--- a/crates/sequoiawing_telemetry/tests/meters.rs
+++ b/crates/sequoiawing_telemetry/tests/meters.rs
@@ -1,30 +1,31 @@
-//! Checks the names, units and labels under which measures are scraped.
+//! Tests the names, units and labels of scraped metrics.
 
-use sequoiawing_telemetry::{Asked, Meters, Within};
+use sequoiawing_telemetry::{Meters, RequestAttributes, WithinRate};
 use sequoiawing_types::Name;
 use std::time::Duration;
 
 fn scrape() -> String {
     let meters = Meters::new("router", &Name::from("entry-1"), &Name::from("north"));
     let meters = meters.expect("the exporter can be set up");
-    let asked = Asked {
+    let request = RequestAttributes {
         customer: Name::from("daily"),
         route: Name::from("captions"),
         model: Name::from("caption"),
     };
-    meters.answered(&asked, 200, Duration::from_millis(30));
-    meters.cold_started(&asked, true, Duration::from_millis(1_600));
-    meters.served(&asked.customer, 512);
-    meters.refused(&asked, "rate_limited", Within::No);
-    meters.idled(&Name::from("captions"), Duration::from_millis(2_500));
+    meters.record_response(&request, 200, Duration::from_millis(30));
+    meters.record_cold_start(&request, true, Duration::from_millis(1_600));
+    meters.record_served_tokens(&request.customer, 512);
+    meters.record_refusal(&request, "rate_limited", WithinRate::No);
+    meters.record_idle_time(&Name::from("captions"), Duration::from_millis(2_500));
     meters.set_upstreams(3);
     meters.set_requests(4, 5);
     meters.set_state(42, true);
-    meters.scrape().expect("the measures can be written")
+    meters.scrape().expect("the metrics can be encoded")
 }
 
-/// Names a measure and a line that its scrape must hold.
-macro_rules! measures {
+/// Generates one test for each metric and the prefix of a line that a scrape must
+/// contain.
+macro_rules! metrics {
     ($($name:ident: $line:expr;)*) => {
         $(
             #[test]
@@ -38,7 +39,7 @@
     };
 }
 
-measures! {
+metrics! {
     requests_are_counted_by_status: "http_server_request_duration_seconds_count{";
     a_cold_start_is_a_histogram_in_seconds: "# TYPE sequoiawing_cold_start_duration_seconds histogram";
     idle_accelerators_are_counted_in_seconds: "sequoiawing_accelerator_idle_time_seconds_total{";
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn refusals_say_whether_the_rate_was_kept() {
+fn refusals_are_labelled_with_the_rate_limit_result() {
     let text = scrape();
     let line = text
         .lines()
--- a/crates/sequoiawing_telemetry/tests/throttle.rs
+++ b/crates/sequoiawing_telemetry/tests/throttle.rs
@@ -1,6 +1,6 @@
-//! Checks how repeated log records are left out.
+//! Tests how repeated log records are suppressed.
 
-use sequoiawing_telemetry::{Admitted, Throttle, ThrottleSettings};
+use sequoiawing_telemetry::{Admission, Throttle, ThrottleSettings};
 use sequoiawing_types::Time;
 use std::time::Duration;
 
@@ -11,41 +11,46 @@
     })
 }
 
-const SHOWN: Admitted = Admitted::Shown { omitted: 0 };
+const ALLOWED: Admission = Admission::Allowed { suppressed: 0 };
 
 #[test]
-fn the_first_records_of_a_place_are_shown() {
+fn the_first_records_of_a_key_are_allowed() {
     let mut throttle = throttle();
     let now = Time::from_millis(5);
     let admitted = [0; 4].map(|_| throttle.admit(now, "link"));
     assert_eq!(
         admitted,
-        [SHOWN, SHOWN, Admitted::Omitted, Admitted::Omitted]
+        [
+            ALLOWED,
+            ALLOWED,
+            Admission::Suppressed,
+            Admission::Suppressed
+        ]
     );
 }
 
 #[test]
-fn another_place_is_not_held_back() {
+fn keys_are_limited_independently() {
     let mut throttle = throttle();
     for _ in 0..9 {
         throttle.admit(Time::ZERO, "link");
     }
-    assert_eq!(throttle.admit(Time::ZERO, "router"), SHOWN);
+    assert_eq!(throttle.admit(Time::ZERO, "router"), ALLOWED);
 }
 
 #[test]
-fn after_the_interval_the_omitted_are_counted_once() {
+fn suppressed_records_are_reported_once_after_the_interval() {
     let mut throttle = throttle();
     for _ in 0..5 {
         throttle.admit(Time::ZERO, "link");
     }
     let just_before = Time::from_millis(9_999);
-    assert_eq!(throttle.admit(just_before, "link"), Admitted::Omitted);
+    assert_eq!(throttle.admit(just_before, "link"), Admission::Suppressed);
     let later = Time::from_millis(10_000);
     assert_eq!(
         throttle.admit(later, "link"),
-        Admitted::Shown { omitted: 4 }
+        Admission::Allowed { suppressed: 4 }
     );
-    assert_eq!(throttle.admit(later, "link"), SHOWN);
-    assert_eq!(throttle.admit(later, "link"), Admitted::Omitted);
+    assert_eq!(throttle.admit(later, "link"), ALLOWED);
+    assert_eq!(throttle.admit(later, "link"), Admission::Suppressed);
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -3,7 +3,7 @@
 use crate::{
     runtime,
     settings::{Check, read_file},
-    telemetry::{LogFormat, finish_logging, start_logging},
+    telemetry::{LogFormat, flush_logs, start_logging},
 };
 use clap::{Arg, ArgAction, Command};
 use serde::de::DeserializeOwned;
@@ -29,7 +29,7 @@
         Err(code) => return code,
     };
     let ended = runtime::run(serve(settings));
-    finish_logging();
+    flush_logs();
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
