--- a/crates/sequoiawing_controller/src/budgets.rs
+++ b/crates/sequoiawing_controller/src/budgets.rs
@@ -267,10 +267,10 @@
             lender.set_holding(config.timing.holding);
             let shares = centres.iter().map(|c| {
                 let equal = Share::equal(centres.len());
-                let own = config.shares.get(*c).copied();
-                let has_own = !config.shares.is_empty();
-                let share = if has_own {
-                    own.unwrap_or_default()
+                let configured = config.shares.get(*c).copied();
+                let is_configured = !config.shares.is_empty();
+                let share = if is_configured {
+                    configured.unwrap_or_default()
                 } else {
                     equal
                 };
--- a/crates/sequoiawing_runtime/src/executor.rs
+++ b/crates/sequoiawing_runtime/src/executor.rs
@@ -12,23 +12,23 @@
 const MAX_THREADS: usize = 4;
 
 /// Spawns a task on the process-wide executor.
-pub fn spawn<F>(work: F) -> Task<F::Output>
+pub fn spawn<F>(future: F) -> Task<F::Output>
 where
     F: Future + Send + 'static,
     F::Output: Send + 'static,
 {
     WORKERS.get_or_init(start_workers);
-    EXECUTOR.spawn(work)
+    EXECUTOR.spawn(future)
 }
 
-/// Blocks the calling thread until `work` completes, while the executor threads
+/// Blocks the calling thread until `future` completes, while the executor threads
 /// run spawned tasks.
-pub fn run<F>(work: F) -> F::Output
+pub fn run<F>(future: F) -> F::Output
 where
     F: Future,
 {
     WORKERS.get_or_init(start_workers);
-    async_io::block_on(work)
+    async_io::block_on(future)
 }
 
 fn start_workers() {
--- a/crates/sequoiawing_runtime/src/lib.rs
+++ b/crates/sequoiawing_runtime/src/lib.rs
@@ -16,19 +16,20 @@
 use futures_lite::FutureExt;
 use std::{future::Future, time::Duration};
 
-/// Waits for `span`.
-pub async fn sleep(span: Duration) {
-    async_io::Timer::after(span).await;
+/// Waits for `duration`.
+pub async fn sleep(duration: Duration) {
+    async_io::Timer::after(duration).await;
 }
 
-/// Waits for `work` at most for `span`. Returns `None` and drops `work` on timeout.
-pub async fn timeout<F>(span: Duration, work: F) -> Option<F::Output>
+/// Waits for `future` at most for `duration`. Returns `None` and drops `future` on
+/// timeout.
+pub async fn timeout<F>(duration: Duration, future: F) -> Option<F::Output>
 where
     F: Future,
 {
     let timer = async {
-        sleep(span).await;
+        sleep(duration).await;
         None
     };
-    async { Some(work.await) }.or(timer).await
+    async { Some(future.await) }.or(timer).await
 }
--- a/crates/sequoiawing_runtime/src/shutdown.rs
+++ b/crates/sequoiawing_runtime/src/shutdown.rs
@@ -34,9 +34,9 @@
         debug_assert!(closed.is_err(), "the channel only signals by being closed");
     }
 
-    /// Runs `work` until it completes or the signal is given. Returns `None` in the
-    /// second case.
-    pub async fn or<F>(&self, work: F) -> Option<F::Output>
+    /// Runs `future` until it completes or the signal is given. Returns `None` in
+    /// the second case.
+    pub async fn or<F>(&self, future: F) -> Option<F::Output>
     where
         F: Future,
     {
@@ -44,15 +44,15 @@
             self.wait().await;
             None
         };
-        stopped.or(async { Some(work.await) }).await
+        stopped.or(async { Some(future.await) }).await
     }
 
-    /// Runs `work`, typically an endless loop, until the signal is given.
-    pub async fn run_until_shutdown<F>(self, work: F)
+    /// Runs `future`, typically an endless loop, until the signal is given.
+    pub async fn run_until_shutdown<F>(self, future: F)
     where
         F: Future<Output = ()>,
     {
-        self.or(work).await;
+        self.or(future).await;
     }
 }
 
--- a/crates/sequoiawing_telemetry/src/meters.rs
+++ b/crates/sequoiawing_telemetry/src/meters.rs
@@ -131,18 +131,18 @@
 
     /// Records the time from the arrival of a request to the start of its response,
     /// labelled with the status code.
-    pub fn record_response(&self, request: &RequestAttributes, status: u16, took: Duration) {
+    pub fn record_response(&self, request: &RequestAttributes, status: u16, duration: Duration) {
         let status = KeyValue::new("http.response.status_code", i64::from(status));
         let attributes = [attributes(request).as_slice(), &[status]].concat();
-        self.request.record(took.as_secs_f64(), &attributes);
+        self.request.record(duration.as_secs_f64(), &attributes);
     }
 
     /// Records the time to the response or refusal of a request whose model was not
     /// loaded when it arrived.
-    pub fn record_cold_start(&self, request: &RequestAttributes, served: bool, took: Duration) {
+    pub fn record_cold_start(&self, request: &RequestAttributes, served: bool, duration: Duration) {
         let served = KeyValue::new("sequoiawing.served", served);
         let attributes = [attributes(request).as_slice(), &[served]].concat();
-        self.cold_start.record(took.as_secs_f64(), &attributes);
+        self.cold_start.record(duration.as_secs_f64(), &attributes);
     }
 
     /// Adds tokens served to a customer.
@@ -160,9 +160,9 @@
     }
 
     /// Adds time during which a runner held models but ran no requests.
-    pub fn record_idle_time(&self, pool: &Name, span: Duration) {
+    pub fn record_idle_time(&self, pool: &Name, duration: Duration) {
         let pool = KeyValue::new("sequoiawing.pool", pool.to_string());
-        self.idle.add(span.as_secs_f64(), &[pool]);
+        self.idle.add(duration.as_secs_f64(), &[pool]);
     }
 
     /// Sets the number of live upstreams.
