--- a/crates/sequoiawing_runtime/src/lib.rs
+++ b/crates/sequoiawing_runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! Executor threads, timers and shutdown for the daemons.
 //!
 //! One process-wide executor runs on a fixed number of threads. Daemons spawn
-//! tasks on it and wait for a [`Shutdown`] to end them in order.
+//! tasks on it, and a [`Shutdown`] signal ends these tasks.
 
 mod clock;
 mod executor;
@@ -16,19 +16,20 @@
 use futures_lite::FutureExt;
 use std::{future::Future, time::Duration};
 
-/// Waits for `span`.
-pub async fn sleep(span: Duration) {
-    async_io::Timer::after(span).await;
+/// Waits for `duration`.
+pub async fn sleep(duration: Duration) {
+    async_io::Timer::after(duration).await;
 }
 
-/// Waits for `work`, or returns `None` after `span`.
-pub async fn timeout<F>(span: Duration, work: F) -> Option<F::Output>
+/// Waits for `future` at most for `duration`. Returns `None` and drops `future` on
+/// timeout.
+pub async fn timeout<F>(duration: Duration, future: F) -> Option<F::Output>
 where
     F: Future,
 {
     let timer = async {
-        sleep(span).await;
+        sleep(duration).await;
         None
     };
-    async { Some(work.await) }.or(timer).await
+    async { Some(future.await) }.or(timer).await
 }
