--- a/crates/sequoiawing_controller/src/budgets.rs
+++ b/crates/sequoiawing_controller/src/budgets.rs
@@ -266,7 +266,7 @@
             if lender.limits() != config.limits {
                 lender.set_limits(now, config.limits);
             }
-            lender.set_overrun(planned.timing.overrun);
+            lender.set_overrun(config.timing.overrun);
             let shares = centres.iter().map(|c| {
                 let equal = Share::equal(centres.len());
                 let configured = config.shares.get(*c).copied();
