--- a/crates/sequoiawing_gateway/src/daemon.rs
+++ b/crates/sequoiawing_gateway/src/daemon.rs
@@ -185,7 +185,7 @@
                 route: exchange.route.name.clone(),
                 model: exchange.meta.model.clone().unwrap_or_default(),
             };
-            meters.answered(&asked, response.status().as_u16(), latency);
+            meters.record_response(&asked, response.status().as_u16(), latency);
         }
         response
     }
--- a/crates/sequoiawing_hub/src/hub.rs
+++ b/crates/sequoiawing_hub/src/hub.rs
@@ -368,10 +368,14 @@
             spawn(loader::run(state.clone(), options, shutdown.clone())).detach();
         }
         let watcher_state = state.clone();
-        spawn(shutdown.clone().cancel(async move {
+        spawn(shutdown.clone().run_until_shutdown(async move {
             let mut revision = watcher_state.handle.tables().revision;
             loop {
-                if let Some(tables) = watcher_state.handle.newer(revision, REVISION_WAIT).await {
+                if let Some(tables) = watcher_state
+                    .handle
+                    .wait_for_newer(revision, REVISION_WAIT)
+                    .await
+                {
                     revision = tables.revision;
                     watcher_state.notify_changed();
                 }
