--- a/crates/sequoiawing_bench/src/world/event.rs
+++ b/crates/sequoiawing_bench/src/world/event.rs
@@ -1,4 +1,4 @@
-use sequoiawing_fleet::{Order, OrderReply, OrderState};
+use sequoiawing_fleet::{DemandStatus, Order, OrderReply};
 use sequoiawing_types::{Name, Time};
 use std::cmp::Ordering;
 
@@ -72,7 +72,7 @@
     Decided {
         router: usize,
         target: Name,
-        state: OrderState,
+        state: DemandStatus,
     },
     Allot {
         centre: usize,
--- a/crates/sequoiawing_catalog/src/catalog.rs
+++ b/crates/sequoiawing_catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-use crate::{CatalogPool, CatalogRoute, Client, check::check};
+use crate::{CatalogCustomer, CatalogPool, CatalogRoute, check::check};
 use sequoiawing_types::Findings;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 /// What a caller may send, and how long it may take.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct CallerBounds {
+pub struct CallerLimits {
     /// The largest headers, in bytes.
     pub header_bytes: usize,
     /// The largest body, in bytes.
@@ -17,7 +17,7 @@
     pub idle_wait: u64,
 }
 
-impl Default for CallerBounds {
+impl Default for CallerLimits {
     fn default() -> Self {
         Self {
             header_bytes: 32 * 1024,
@@ -39,9 +39,9 @@
     /// Where they are served.
     pub pools: Vec<CatalogPool>,
     /// Who may send them; without any, no key is asked for.
-    pub customers: Vec<Client>,
+    pub customers: Vec<CatalogCustomer>,
     /// What callers are held to.
-    pub bounds: CallerBounds,
+    pub bounds: CallerLimits,
 }
 
 impl Catalog {
--- a/crates/sequoiawing_catalog/src/customer.rs
+++ b/crates/sequoiawing_catalog/src/customer.rs
@@ -5,7 +5,7 @@
 /// In what a customer's rate and burst are counted.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unit {
+pub enum RateUnit {
     /// In requests.
     #[default]
     Requests,
@@ -16,7 +16,7 @@
 /// A customer whose keys a catalog lists.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Client {
+pub struct CatalogCustomer {
     /// The name.
     pub name: Name,
     /// The keys that admit requests; two customers share none.
@@ -24,7 +24,7 @@
     /// The rank of its requests, which goes before that of the route.
     pub rank: Option<u32>,
     /// In what rate and burst are counted.
-    pub unit: Unit,
+    pub unit: RateUnit,
     /// The units that accrue in a second over all hosts; zero for no limit.
     pub rate: u64,
     /// The units that may be used at once after a pause.
@@ -33,7 +33,7 @@
     pub plain_tokens: u64,
 }
 
-impl Client {
+impl CatalogCustomer {
     /// Reports whether the customer's use is bounded.
     pub fn is_limited(&self) -> bool {
         self.rate > 0
@@ -43,8 +43,8 @@
     /// tokens.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
-            Unit::Requests => 1,
-            Unit::Tokens => tokens.unwrap_or(self.plain_tokens),
+            RateUnit::Requests => 1,
+            RateUnit::Tokens => tokens.unwrap_or(self.plain_tokens),
         }
     }
 }
--- a/crates/sequoiawing_catalog/src/index.rs
+++ b/crates/sequoiawing_catalog/src/index.rs
@@ -1,4 +1,4 @@
-use crate::{Catalog, CatalogPool, CatalogRoute, Client, Engine, ModelSpec};
+use crate::{Catalog, CatalogCustomer, CatalogPool, CatalogRoute, Engine, ModelSpec};
 use sequoiawing_types::Name;
 use std::{collections::HashMap, sync::Arc};
 
@@ -11,7 +11,7 @@
     catalog: Arc<Catalog>,
     /// The routes by host and prefix.
     routes: HashMap<Box<str>, HashMap<Box<str>, Arc<CatalogRoute>>>,
-    customers: HashMap<Arc<str>, Arc<Client>>,
+    customers: HashMap<Arc<str>, Arc<CatalogCustomer>>,
     pools: HashMap<Name, usize>,
     /// The models by pool and name.
     models: HashMap<Name, HashMap<Name, usize>>,
@@ -69,12 +69,12 @@
     }
 
     /// Returns the customer that holds a key.
-    pub fn customer(&self, key: &str) -> Option<&Arc<Client>> {
+    pub fn customer(&self, key: &str) -> Option<&Arc<CatalogCustomer>> {
         self.customers.get(key)
     }
 
     /// Reports whether requests need a key on routes that are not open.
-    pub fn asks_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.catalog.customers.is_empty()
     }
 
--- a/crates/sequoiawing_catalog/src/lib.rs
+++ b/crates/sequoiawing_catalog/src/lib.rs
@@ -12,8 +12,8 @@
 mod pool;
 mod route;
 
-pub use catalog::{CallerBounds, Catalog, Document};
-pub use customer::{Client, Unit};
+pub use catalog::{CallerLimits, Catalog, Document};
+pub use customer::{CatalogCustomer, RateUnit};
 pub use index::CatalogIndex;
 pub use pool::{CatalogPool, Engine, ModelSpec};
-pub use route::{CatalogRoute, Repeat, Target};
+pub use route::{CatalogRoute, RetryPolicy, Target};
--- a/crates/sequoiawing_catalog/src/pool.rs
+++ b/crates/sequoiawing_catalog/src/pool.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the shortest time between two loads from the weight store.
-    pub fn load_pause(&self) -> Duration {
+    pub fn load_interval(&self) -> Duration {
         let millis = 1_000_000_u64.checked_div(self.load_rate);
         Duration::from_millis(millis.unwrap_or_default())
     }
--- a/crates/sequoiawing_catalog/src/route.rs
+++ b/crates/sequoiawing_catalog/src/route.rs
@@ -5,7 +5,7 @@
 /// How often a request of a route may run.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Any number of times.
     Idempotent,
     /// At most once.
@@ -17,14 +17,14 @@
     Resumable,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Reports whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 
     /// Reports whether a request that may have run may be sent again.
-    pub fn may_repeat(self) -> bool {
+    pub fn allows_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 }
@@ -50,7 +50,7 @@
     /// What its path begins with.
     pub prefix: Name,
     /// How often a request may run.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// The longest time from arrival to the end of the answer, in
     /// milliseconds.
     pub timeout: u64,
@@ -73,17 +73,17 @@
 
 impl CatalogRoute {
     /// Returns the longest time that a request may take.
-    pub fn limit(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout)
     }
 
     /// Returns the time within which an answer is on time.
-    pub fn aim(&self) -> Duration {
+    pub fn target_latency(&self) -> Duration {
         Duration::from_millis(self.aim)
     }
 
     /// Returns the pool for a number that was drawn uniformly.
-    pub fn pool_for(&self, drawn: u64) -> Option<&Name> {
+    pub fn choose_pool(&self, drawn: u64) -> Option<&Name> {
         let total: u64 = self.targets.iter().map(|t| t.weight).sum();
         let mut rest = drawn.checked_rem(total)?;
         let chosen = self.targets.iter().find(|target| {
--- a/crates/sequoiawing_catalog/tests/catalog.rs
+++ b/crates/sequoiawing_catalog/tests/catalog.rs
@@ -1,6 +1,8 @@
 //! What a catalog accepts and how requests are looked up in it.
 
-use sequoiawing_catalog::{Catalog, CatalogIndex, CatalogPool, CatalogRoute, Client, Target};
+use sequoiawing_catalog::{
+    Catalog, CatalogCustomer, CatalogIndex, CatalogPool, CatalogRoute, Target,
+};
 use sequoiawing_types::Name;
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -22,15 +24,15 @@
     }
 }
 
-fn client(name: &str, keys: &[&str]) -> Client {
-    Client {
+fn client(name: &str, keys: &[&str]) -> CatalogCustomer {
+    CatalogCustomer {
         name: Name::from(name),
         keys: keys.iter().map(|k| Arc::from(*k)).collect(),
-        ..Client::default()
+        ..CatalogCustomer::default()
     }
 }
 
-fn catalog(routes: Vec<CatalogRoute>, customers: Vec<Client>) -> Catalog {
+fn catalog(routes: Vec<CatalogRoute>, customers: Vec<CatalogCustomer>) -> Catalog {
     Catalog {
         version: 1,
         routes,
@@ -127,7 +129,7 @@
     };
     let mut counts = BTreeMap::new();
     for drawn in 0..1_000 {
-        let pool = route.pool_for(drawn).expect("a weight is positive");
+        let pool = route.choose_pool(drawn).expect("a weight is positive");
         *counts.entry(pool.as_str()).or_insert(0) += 1;
     }
     assert_eq!(counts, BTreeMap::from([("a", 900), ("b", 100)]));
--- a/crates/sequoiawing_fleet/src/announcement.rs
+++ b/crates/sequoiawing_fleet/src/announcement.rs
@@ -2,73 +2,73 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What kind of work an upstream takes.
+/// The kind of work that an upstream accepts.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
-    /// An engine that loads models and adapters on order.
+    /// An engine that loads models and adapters when ordered to.
     #[default]
     Runner,
-    /// A plain service that is always ready.
+    /// A service that needs no loading and is always ready.
     Service,
 }
 
-/// What an upstream announces of itself.
+/// The state that an upstream announces.
 ///
-/// The same shape travels from the upstream to a router and between the
-/// routers of a data centre.
+/// The same type is sent by the upstream to a router and between the routers of
+/// a data centre.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct UpstreamState {
-    /// The upstream's name, unique in its pool.
+    /// The upstream's name, unique within its pool.
     pub name: Name,
-    /// The pool that it joins.
+    /// The pool that it belongs to.
     pub pool: Name,
     /// Its data centre.
     pub centre: Name,
-    /// What kind of work it takes.
+    /// The kind of work that it accepts.
     pub kind: UpstreamKind,
-    /// Where it takes requests and orders.
+    /// The address at which it accepts requests and orders.
     pub address: Option<SocketAddr>,
-    /// Drawn anew at each start of the upstream.
+    /// Identifies one start of the upstream; a later start has a higher epoch.
     pub epoch: u64,
-    /// Counts the announcements of one epoch, so that a late one is dropped.
+    /// Numbers the announcements within an epoch, so that late ones are dropped.
     pub sequence: u64,
-    /// How long the announcement holds, in milliseconds.
+    /// How long the announcement stays valid, in milliseconds.
     pub lifetime: u64,
-    /// Whether the upstream wants no new work.
+    /// Whether the upstream is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Whether the upstream refuses orders with an old fencing number.
+    /// Whether the upstream rejects orders with an outdated fencing token.
     pub fenced: bool,
-    /// The highest fencing number that it has seen.
+    /// The highest fencing token that it has seen.
     pub fence: u64,
-    /// The accelerator memory for models, in MiB.
+    /// The accelerator memory available for models, in MiB.
     pub memory: u64,
-    /// The requests that it runs at once.
+    /// The number of requests that it can run concurrently.
     pub slots: u32,
-    /// The requests that it runs now.
+    /// The number of requests that it is running.
     pub running: u32,
     /// The loaded models.
     pub loaded: Vec<Name>,
     /// The loaded adapters, as `model:adapter`.
     pub adapters: Vec<Name>,
-    /// Models and adapters that run requests now, or ran some since the
-    /// previous announcement; what is listed is never evicted.
+    /// The models and adapters that are running requests, or ran any since the
+    /// previous announcement. They are never evicted.
     pub active: Vec<Name>,
-    /// Models and adapters being loaded.
+    /// The models and adapters that are being loaded.
     pub loading: Vec<Name>,
-    /// Models and adapters whose last load failed.
+    /// The models and adapters whose last load failed.
     pub failed: Vec<Name>,
-    /// Models whose checkpoint is on the local disk.
+    /// The models whose checkpoint is on the local disk.
     pub disk: Vec<Name>,
-    /// Models whose checkpoint is in main memory.
+    /// The models whose checkpoint is in main memory.
     pub cached: Vec<Name>,
-    /// The newest orders that it took in, by their identifiers. An upstream
-    /// that lists them has its failed orders settled at once instead of after
-    /// their lifetime.
+    /// The identifiers of the orders that it received most recently. When an
+    /// upstream lists them, its failed orders are settled immediately rather
+    /// than when they expire.
     pub taken: Vec<u64>,
-    /// Hashes of the beginnings of prompts that entered its prefix cache since
-    /// the previous announcement. They are hints: late, and with gaps.
+    /// Hashes of the prompt prefixes added to its prefix cache since the
+    /// previous announcement. They are hints, which may be late or incomplete.
     pub stored: Vec<u64>,
 }
 
@@ -83,8 +83,8 @@
         self.loading.contains(model)
     }
 
-    /// Returns what orders the announcements of an upstream: a later start
-    /// comes after an earlier one, whatever its count.
+    /// Returns the key that orders the announcements of an upstream: first by
+    /// epoch, then by sequence.
     pub fn version(&self) -> (u64, u64) {
         (self.epoch, self.sequence)
     }
--- a/crates/sequoiawing_fleet/src/bindings.rs
+++ b/crates/sequoiawing_fleet/src/bindings.rs
@@ -2,35 +2,35 @@
 use sequoiawing_types::Name;
 use std::collections::BTreeMap;
 
-/// One version of one upstream.
+/// A version of an upstream's state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Version {
     pub(crate) name: Name,
     pub(crate) epoch: u64,
-    /// The sequence of the announcement that last changed more than the load.
+    /// The sequence of the last announcement that changed more than the load.
     pub(crate) sequence: u64,
 }
 
-/// The indexes of one router.
+/// The indexes that one router has assigned since its last start.
 #[derive(Clone, Debug, Default)]
 struct Indexes {
     start: u64,
     versions: BTreeMap<u64, Version>,
-    names: BTreeMap<Name, u64>,
+    by_upstream: BTreeMap<Name, u64>,
 }
 
-/// What the indexes of other routers' load deltas stand for.
+/// Maps the indexes in other routers' load deltas to versions of upstreams.
 ///
-/// Each router numbers the versions of its upstreams by itself; after a restart
-/// it begins anew, so that indexes of a former start mean nothing.
+/// Each router assigns its own indexes to the versions of its upstreams, and
+/// assigns new ones after a restart, which invalidates all earlier indexes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Bindings {
     routers: BTreeMap<Name, Indexes>,
 }
 
 impl Bindings {
-    /// Notes what an index of a router stands for. One of a former start is
-    /// ignored.
+    /// Records the version that a router's index refers to. Indexes from before
+    /// the router's last start are ignored.
     pub(crate) fn bind(&mut self, source: &Source, index: u64, version: Version) {
         let router = self.routers.entry(source.host.clone()).or_default();
         if router.start > source.start {
@@ -42,18 +42,18 @@
                 ..Indexes::default()
             };
         }
-        let former = router.names.get(&version.name).copied();
-        if former.is_some_and(|f| f > index) {
+        let previous = router.by_upstream.get(&version.name).copied();
+        if previous.is_some_and(|p| p > index) {
             return;
         }
-        if let Some(former) = former {
-            router.versions.remove(&former);
+        if let Some(previous) = previous {
+            router.versions.remove(&previous);
         }
-        router.names.insert(version.name.clone(), index);
+        router.by_upstream.insert(version.name.clone(), index);
         router.versions.insert(index, version);
     }
 
-    /// Returns what an index of a router stands for.
+    /// Returns the version that a router's index refers to.
     pub(crate) fn resolve(&self, source: &Source, index: u64) -> Option<&Version> {
         let router = self.routers.get(&source.host)?;
         if router.start != source.start {
@@ -62,13 +62,14 @@
         router.versions.get(&index)
     }
 
-    /// Forgets all indexes of an upstream.
-    pub(crate) fn forget(&mut self, upstream: &Name) {
+    /// Removes all indexes of an upstream.
+    pub(crate) fn remove_upstream(&mut self, upstream: &Name) {
         for router in self.routers.values_mut() {
-            if let Some(index) = router.names.remove(upstream) {
+            if let Some(index) = router.by_upstream.remove(upstream) {
                 router.versions.remove(&index);
             }
         }
-        self.routers.retain(|_, router| !router.names.is_empty());
+        self.routers
+            .retain(|_, router| !router.by_upstream.is_empty());
     }
 }
--- a/crates/sequoiawing_fleet/src/demand.rs
+++ b/crates/sequoiawing_fleet/src/demand.rs
@@ -1,62 +1,62 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// What one customer wants of a model.
+/// The demand of one customer for a model.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct CustomerDemand {
     /// The customer.
     pub customer: Name,
-    /// The customer's share of service beside others.
+    /// The customer's weight in fair sharing.
     pub weight: u32,
-    /// The tokens that its waiting requests ask for.
+    /// The total tokens of its waiting requests.
     pub tokens: u64,
     /// The time until its earliest deadline, in milliseconds.
     pub deadline: u64,
 }
 
-/// What the queue of one router wants of a model.
+/// The demand of one router's queue for a model.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Demand {
-    /// The host whose callers wait.
+    /// The host of the router whose requests are waiting.
     pub host: Name,
-    /// The data centre whose leader is asked; empty for the router's own.
+    /// The data centre whose leader receives the demand; empty for the router's
+    /// own.
     pub centre: Name,
-    /// Whether other data centres were asked and did not help; then what is
-    /// being loaded there does not count.
+    /// Whether other data centres were asked without success. Replicas that are
+    /// being loaded there are then ignored.
     pub urgent: bool,
-    /// Whether nothing is to be loaded here: the data centre is only asked to
-    /// release its unused share of the model.
+    /// Whether the data centre is only asked to release its unused share of the
+    /// model. Nothing is loaded there in this case.
     pub recall: bool,
     /// The pool.
     pub pool: Name,
     /// The model.
     pub model: Name,
-    /// The adapter, if one is asked for.
+    /// The adapter, if one is requested.
     pub adapter: Option<Name>,
-    /// The waiting requests.
+    /// The number of waiting requests.
     pub waiting: u32,
-    /// The tokens that they ask for.
+    /// The total tokens of the waiting requests.
     pub tokens: u64,
     /// The time until the earliest deadline, in milliseconds.
     pub deadline: u64,
-    /// The tokens a second that one running request gets, as the router has
-    /// seen; zero when it has not.
+    /// The token rate of one running request as measured by the router, in
+    /// tokens per second; zero when unknown.
     pub pace: u32,
-    /// The customers who wait, those with the earliest deadlines first.
+    /// The demand of each waiting customer, by earliest deadline.
     pub shares: Vec<CustomerDemand>,
 }
 
-/// How the decision about a demanded model stands.
+/// The status of a demand, as the leader of a cell reports it.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct OrderState {
-    /// Whether a replica is loaded or being loaded, as far as can be told
-    /// without trouble.
+pub struct DemandStatus {
+    /// Whether a replica is known to be loaded or being loaded.
     pub decided: bool,
-    /// The estimated time until one is ready, in milliseconds.
+    /// The estimated time until a replica is ready, in milliseconds.
     pub estimate: u64,
-    /// Why nothing can be loaded, if so.
+    /// The reason why no replica can be loaded, if any.
     pub problem: Option<String>,
 }
--- a/crates/sequoiawing_fleet/src/order.rs
+++ b/crates/sequoiawing_fleet/src/order.rs
@@ -1,7 +1,7 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// What an upstream is told to do.
+/// The action that an order requests of an upstream.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
@@ -9,7 +9,7 @@
     Load {
         /// The model.
         model: Name,
-        /// The memory that was reserved for it, in MiB.
+        /// The accelerator memory reserved for it, in MiB.
         memory: u64,
     },
     /// Unloads a model and its adapters.
@@ -27,37 +27,40 @@
         /// The adapter.
         adapter: Name,
     },
-    /// Changes nothing but the fencing number. A new leader sends it first, and
-    /// the announcement that shows the number shows all that older orders did.
+    /// Only raises the fencing token. A new leader sends it first; an
+    /// announcement that shows the token also shows the effects of all older
+    /// orders.
     Fence,
 }
 
-/// One order of a cell leader to an upstream.
+/// An order from a cell leader to an upstream.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Order {
-    /// Repeated with every resend; an upstream carries out an order once.
+    /// The identifier, unchanged when the order is resent. An upstream executes
+    /// each order once.
     pub id: u64,
-    /// The term of the cell that decided; an upstream may refuse old ones.
+    /// The fencing token, which is the cell's term. An upstream may reject
+    /// outdated ones.
     pub fence: u64,
-    /// The epoch of the upstream that the order was decided for; a restarted
-    /// upstream refuses orders for its former self.
+    /// The epoch of the upstream that the order is for. A restarted upstream
+    /// rejects orders for earlier epochs.
     pub epoch: u64,
-    /// What to do.
+    /// The requested action.
     pub kind: OrderKind,
 }
 
-/// How an upstream answers an order.
+/// The reply of an upstream to an order.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderReply {
-    /// The order is being carried out, or was.
+    /// The order is being executed or has been executed.
     Accepted,
-    /// The fencing number is older than one that the upstream has seen.
+    /// The fencing token is older than one that the upstream has seen.
     Outdated {
-        /// The highest fencing number that it has seen.
+        /// The highest fencing token that it has seen.
         fence: u64,
     },
-    /// The order cannot be carried out.
+    /// The order cannot be executed.
     Rejected {
         /// The reason.
         problem: String,
--- a/crates/sequoiawing_fleet/src/publisher.rs
+++ b/crates/sequoiawing_fleet/src/publisher.rs
@@ -1,11 +1,11 @@
-use crate::{Place, Rank, Summary, SummaryChange, UpstreamState};
+use crate::{Rank, StateList, Summary, SummaryChange, UpstreamState};
 use sequoiawing_types::Name;
 use std::collections::BTreeMap;
 
-/// Works out what one data centre tells the others.
+/// Computes the summaries that one data centre publishes to the others.
 ///
-/// The router that speaks for its data centre passes it every upstream there,
-/// and sends on what changed since.
+/// The router that publishes for its data centre passes in all upstreams there
+/// and sends the returned changes.
 #[derive(Clone, Debug, Default)]
 pub struct Publisher {
     centre: Name,
@@ -15,7 +15,7 @@
 }
 
 impl Publisher {
-    /// Returns a publisher for a data centre that has told nothing yet.
+    /// Returns a publisher for a data centre that has published nothing yet.
     pub fn new(centre: Name) -> Self {
         Self {
             centre,
@@ -23,16 +23,17 @@
         }
     }
 
-    /// Takes in the upstreams of the data centre and returns what changed; a
-    /// confirmation when nothing did.
+    /// Returns the changes since the last call; a confirmation when nothing
+    /// changed.
     ///
-    /// A new rank begins with a whole summary.
+    /// `states` are all upstreams of the data centre. A new rank starts with a
+    /// full summary.
     pub fn publish<'a, I>(&mut self, rank: Rank, states: I) -> Summary
     where
         I: Iterator<Item = &'a UpstreamState>,
     {
         let next: BTreeMap<Name, UpstreamState> = states
-            .map(|state| (state.name.clone(), outline(state)))
+            .map(|state| (state.name.clone(), published_state(state)))
             .collect();
         let changes = changes(&self.entries, &next);
         self.entries = next;
@@ -40,7 +41,7 @@
         if rank != self.rank {
             self.rank = rank;
             self.serial += 1;
-            return self.whole();
+            return self.full_summary();
         }
         if !changes.is_empty() {
             self.serial += 1;
@@ -54,18 +55,18 @@
         }
     }
 
-    /// Returns the whole summary, for a receiver that missed something.
-    pub fn whole(&self) -> Summary {
+    /// Returns the full summary, for a receiver that missed a change.
+    pub fn full_summary(&self) -> Summary {
         let states = self.entries.values();
-        Summary::whole(self.centre.clone(), self.rank, self.serial, states)
+        Summary::full(self.centre.clone(), self.rank, self.serial, states)
     }
 }
 
-/// Returns what other data centres need of an upstream.
+/// Returns the part of an upstream's state that other data centres need.
 ///
-/// They neither order it nor see its load; an adapter that is being loaded is
-/// ready before they could learn of it.
-fn outline(state: &UpstreamState) -> UpstreamState {
+/// They neither send it orders nor see its load. Adapters that are being loaded
+/// are left out, since they are ready before other data centres hear of them.
+fn published_state(state: &UpstreamState) -> UpstreamState {
     let is_model = |name: &&Name| !name.as_str().contains(':');
     UpstreamState {
         name: state.name.clone(),
@@ -94,38 +95,38 @@
     let put = after
         .values()
         .filter_map(|state| match before.get(&state.name) {
-            Some(former) if former == state => None,
-            Some(former) => Some(change(former, state)),
+            Some(previous) if previous == state => None,
+            Some(previous) => Some(change(previous, state)),
             None => Some(SummaryChange::put(state)),
         });
     gone.chain(put).collect()
 }
 
-/// Returns the change between two outlines of one upstream.
+/// Returns the change between two published states of one upstream.
 fn change(before: &UpstreamState, after: &UpstreamState) -> SummaryChange {
     if without_lists(before) != without_lists(after) {
         return SummaryChange::put(after);
     }
     SummaryChange::Move {
         name: after.name.clone(),
-        gained: missing(after, before),
-        lost: missing(before, after),
+        gained: difference(after, before),
+        lost: difference(before, after),
     }
 }
 
 fn without_lists(state: &UpstreamState) -> UpstreamState {
     let mut rest = state.clone();
-    for place in Place::ALL {
-        place.of_mut(&mut rest).clear();
+    for list in StateList::ALL {
+        list.get_mut(&mut rest).clear();
     }
     rest
 }
 
-/// Returns what `one` lists and `other` does not.
-fn missing(one: &UpstreamState, other: &UpstreamState) -> Vec<(Place, Name)> {
-    let listed = Place::ALL
+/// Returns the list items of `one` that `other` does not have.
+fn difference(one: &UpstreamState, other: &UpstreamState) -> Vec<(StateList, Name)> {
+    let listed = StateList::ALL
         .into_iter()
-        .flat_map(|place| place.of(one).iter().map(move |name| (place, name)));
-    let missing = listed.filter(|(place, name)| !place.of(other).contains(name));
-    missing.map(|(place, name)| (place, name.clone())).collect()
+        .flat_map(|list| list.get(one).iter().map(move |name| (list, name)));
+    let missing = listed.filter(|(list, name)| !list.get(other).contains(name));
+    missing.map(|(list, name)| (list, name.clone())).collect()
 }
--- a/crates/sequoiawing_fleet/src/registry.rs
+++ b/crates/sequoiawing_fleet/src/registry.rs
@@ -1,8 +1,8 @@
 use crate::{
-    Absorbed, LoadDelta, Relayed, Renewal, Source, Summary, UpstreamState,
+    LoadDelta, RelayedState, Renewal, Source, Summary, SummaryUpdate, UpstreamState,
     bindings::{Bindings, Version},
-    mirrors::Mirrors,
-    names::Names,
+    name_interner::NameInterner,
+    remote_centres::RemoteCentres,
 };
 use sequoiawing_types::{Name, Time};
 use std::{
@@ -11,93 +11,105 @@
     time::Duration,
 };
 
-/// The shortest lifetime that an announcement is given.
+/// The minimum lifetime of an announcement.
 const MIN_LIFETIME: Duration = Duration::from_millis(100);
 
-/// What became of an announcement.
+/// The result of applying an announcement or another update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Applied {
-    /// It is newer than what was known, and says something new.
+pub enum UpdateOutcome {
+    /// It was newer and changed the known state.
     Changed,
-    /// It is newer than what was known, and differs in its load only.
-    Load,
-    /// A newer one was known already.
+    /// It was newer and differs from the known state only in the load.
+    LoadOnly,
+    /// It was not newer than the known state, and was ignored.
     Stale,
-    /// The rest of the upstream's state is not known, or is of another version.
+    /// The state that it builds on is unknown or has another version; the full
+    /// state must be requested.
     Unknown,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     state: Arc<UpstreamState>,
-    /// The sequence of the announcement that last changed more than the load.
+    /// The sequence number of the last announcement that changed more than the
+    /// load.
     version: u64,
-    /// What this router's deltas call the version.
+    /// The index of the version in this router's load deltas.
     index: u64,
     expiry: Time,
 }
 
-/// The newest announcement of each upstream of the data centre that is alive,
-/// and what the other data centres tell of theirs.
+/// The latest announcement of each live upstream of the data centre, and the
+/// upstreams of other data centres.
 ///
-/// An announcement replaces an older one of the same epoch by its sequence
-/// number, and any of an older epoch. Epochs grow with each start of an
-/// upstream, so that a late announcement of a former start is dropped.
+/// An announcement replaces those of earlier epochs and those of the same epoch
+/// with a lower sequence number. Epochs grow with each start of an upstream, so
+/// that late announcements from before a restart are dropped.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<Name, Entry>,
     bindings: Bindings,
-    mirrors: Mirrors,
-    names: Names,
+    remote: RemoteCentres,
+    names: NameInterner,
     last_index: u64,
-    changes: u64,
-    /// The upstreams of which more than the load has changed since somebody
-    /// asked.
-    news: BTreeSet<Name>,
+    change_count: u64,
+    /// The upstreams of which more than the load changed since the last call of
+    /// [`Registry::take_changes`].
+    changed: BTreeSet<Name>,
 }
 
 impl Registry {
-    /// Takes in an announcement of the upstream itself.
-    pub fn announce(&mut self, now: Time, state: UpstreamState) -> Applied {
+    /// Applies an announcement received from the upstream itself.
+    pub fn announce(&mut self, now: Time, state: UpstreamState) -> UpdateOutcome {
         let known = self.entries.get(&state.name);
         let same = known.filter(|e| e.state.differs_in_load_only(&state));
         let version = same.map_or(state.sequence, |e| e.version);
-        let applied = if same.is_some() {
-            Applied::Load
+        let outcome = if same.is_some() {
+            UpdateOutcome::LoadOnly
         } else {
-            Applied::Changed
+            UpdateOutcome::Changed
         };
-        self.insert(now, state, version, applied)
+        self.insert(now, state, version, outcome)
     }
 
-    /// Takes in a renewal of the upstream itself; [`Applied::Unknown`] when it
-    /// must announce itself whole.
+    /// Applies a renewal received from the upstream itself; returns
+    /// [`UpdateOutcome::Unknown`] if it must send a full announcement.
     ///
-    /// What is known of an upstream is as of its last whole announcement when
-    /// that one, or a later word, has come here by whatever way.
-    pub fn renew(&mut self, now: Time, renewal: &Renewal) -> Applied {
+    /// The known state includes the last full announcement if that one, or any
+    /// later message, was received directly or through another router.
+    pub fn renew(&mut self, now: Time, renewal: &Renewal) -> UpdateOutcome {
         let known = self.entries.get_mut(&renewal.name);
         let Some(entry) = known.filter(|e| e.state.epoch == renewal.epoch) else {
-            return Applied::Unknown;
+            return UpdateOutcome::Unknown;
         };
         if entry.state.sequence < renewal.base {
-            return Applied::Unknown;
+            return UpdateOutcome::Unknown;
         }
         if entry.version > renewal.base || entry.state.sequence >= renewal.sequence {
-            return Applied::Stale;
+            return UpdateOutcome::Stale;
         }
         let state = Arc::make_mut(&mut entry.state);
         state.sequence = renewal.sequence;
         state.running = renewal.running;
-        state.active = renewal.active.iter().map(|n| self.names.share(n)).collect();
+        state.active = renewal
+            .active
+            .iter()
+            .map(|n| self.names.intern(n))
+            .collect();
         entry.expiry = now + lifetime(state.lifetime);
-        Applied::Load
+        UpdateOutcome::LoadOnly
     }
 
-    /// Takes in an announcement that another router of the data centre relayed;
-    /// its sequence is the version that the router's index stands for.
-    pub fn adopt(&mut self, now: Time, source: &Source, relayed: Relayed) -> Applied {
-        let Relayed { index, state } = relayed;
+    /// Applies an announcement relayed by another router of the data centre.
+    ///
+    /// Its sequence number is the version that the router's index refers to.
+    pub fn apply_relayed(
+        &mut self,
+        now: Time,
+        source: &Source,
+        relayed: RelayedState,
+    ) -> UpdateOutcome {
+        let RelayedState { index, state } = relayed;
         let version = state.sequence;
         let bound = Version {
             name: state.name.clone(),
@@ -105,7 +117,7 @@
             sequence: version,
         };
         self.bindings.bind(source, index, bound);
-        self.insert(now, state, version, Applied::Changed)
+        self.insert(now, state, version, UpdateOutcome::Changed)
     }
 
     fn insert(
@@ -113,21 +125,21 @@
         now: Time,
         mut state: UpstreamState,
         version: u64,
-        applied: Applied,
-    ) -> Applied {
+        outcome: UpdateOutcome,
+    ) -> UpdateOutcome {
         let known = self.entries.get(&state.name);
         if known.is_some_and(|e| e.state.version() >= state.version()) {
-            return Applied::Stale;
+            return UpdateOutcome::Stale;
         }
         let expiry = now + lifetime(state.lifetime);
         let index = match known {
-            Some(entry) if applied == Applied::Load => entry.index,
+            Some(entry) if outcome == UpdateOutcome::LoadOnly => entry.index,
             _ => self.next_index(),
         };
         self.names.compact(&mut state);
         let name = state.name.clone();
-        if applied == Applied::Changed {
-            self.news.insert(name.clone());
+        if outcome == UpdateOutcome::Changed {
+            self.changed.insert(name.clone());
         }
         let entry = Entry {
             state: Arc::new(state),
@@ -136,24 +148,24 @@
             expiry,
         };
         self.entries.insert(name, entry);
-        applied
+        outcome
     }
 
     fn next_index(&mut self) -> u64 {
-        self.changes += 1;
+        self.change_count += 1;
         self.last_index += 1;
         self.last_index
     }
 
-    /// Returns a number that grows with each change of more than the load of an
+    /// Returns a counter that grows with each change of more than the load of an
     /// upstream of the data centre.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    pub fn change_count(&self) -> u64 {
+        self.change_count
     }
 
-    /// Takes in the load of an upstream that is known, and returns its name;
-    /// `None` when the rest of its state must be asked for.
-    pub fn update(&mut self, now: Time, source: &Source, delta: &LoadDelta) -> Option<Name> {
+    /// Applies the load of a known upstream and returns the upstream's name;
+    /// `None` if its full state must be requested.
+    pub fn apply_delta(&mut self, now: Time, source: &Source, delta: &LoadDelta) -> Option<Name> {
         let bound = self.bindings.resolve(source, delta.index)?;
         let entry = self.entries.get_mut(&bound.name)?;
         if entry.state.epoch != bound.epoch || entry.version != bound.sequence {
@@ -163,119 +175,122 @@
             let state = Arc::make_mut(&mut entry.state);
             state.sequence = delta.sequence;
             state.running = delta.running;
-            state.active = state.named(&delta.active);
+            state.active = state.loaded_at(&delta.active);
             entry.expiry = now + lifetime(entry.state.lifetime);
         }
         Some(bound.name.clone())
     }
 
-    /// Returns the load of an upstream, for routers that have the rest, with
-    /// what was active since the last one.
-    pub fn delta(&self, name: &Name, active: &BTreeSet<Name>) -> Option<LoadDelta> {
+    /// Returns the load of an upstream for routers that know the rest.
+    ///
+    /// `active` are the models and adapters that were active since the last
+    /// delta.
+    pub fn load_delta(&self, name: &Name, active: &BTreeSet<Name>) -> Option<LoadDelta> {
         let entry = self.entries.get(name)?;
         Some(LoadDelta {
             index: entry.index,
             sequence: entry.state.sequence,
             running: entry.state.running,
-            active: entry.state.positions(active),
+            active: entry.state.loaded_positions(active),
         })
     }
 
-    /// Returns an upstream's state for a router of the data centre that is to
-    /// [`adopt`] it.
+    /// Returns an upstream's state for another router of the data centre, which
+    /// passes it to [`apply_relayed`].
     ///
-    /// [`adopt`]: Self::adopt
-    pub fn relayed(&self, name: &Name) -> Option<Relayed> {
-        self.entries.get(name).map(Entry::relayed)
+    /// [`apply_relayed`]: Self::apply_relayed
+    pub fn relayed_state(&self, name: &Name) -> Option<RelayedState> {
+        self.entries.get(name).map(Entry::relayed_state)
     }
 
-    /// Returns the state behind an index of this router, if it is the newest.
-    pub fn indexed(&self, index: u64) -> Option<Relayed> {
+    /// Returns the state with an index of this router, if the index is current.
+    pub fn relayed_by_index(&self, index: u64) -> Option<RelayedState> {
         let found = self.entries.values().find(|e| e.index == index);
-        found.map(Entry::relayed)
+        found.map(Entry::relayed_state)
     }
 
-    /// Takes in a summary of another data centre.
-    pub fn absorb(&mut self, now: Time, summary: &Summary) -> Absorbed {
-        let absorbed = self.mirrors.absorb(now, summary, &mut self.names);
-        self.news.extend(absorbed.changed.iter().cloned());
-        self.news.extend(absorbed.gone.iter().cloned());
-        absorbed
+    /// Applies a summary of another data centre.
+    pub fn apply_summary(&mut self, now: Time, summary: &Summary) -> SummaryUpdate {
+        let update = self.remote.apply(now, summary, &mut self.names);
+        self.changed.extend(update.changed.iter().cloned());
+        self.changed.extend(update.removed.iter().cloned());
+        update
     }
 
-    /// Returns the upstreams of which more than the load has changed since the
-    /// last call, with what is known of each now.
-    pub fn take_news(&mut self) -> Vec<(Name, Option<Arc<UpstreamState>>)> {
-        let news = std::mem::take(&mut self.news).into_iter();
-        news.map(|name| {
-            let state = self.get(&name).cloned();
-            (name, state)
-        })
-        .collect()
+    /// Returns the upstreams of which more than the load changed since the last
+    /// call, each with its current state, or `None` if it was removed.
+    pub fn take_changes(&mut self) -> Vec<(Name, Option<Arc<UpstreamState>>)> {
+        let changed = std::mem::take(&mut self.changed).into_iter();
+        changed
+            .map(|name| {
+                let state = self.get(&name).cloned();
+                (name, state)
+            })
+            .collect()
     }
 
-    /// Returns the whole summary of another data centre, as far as it is known.
-    pub fn whole(&self, centre: &Name) -> Option<Summary> {
-        self.mirrors.whole(centre)
+    /// Returns a full summary of another data centre, if it is known.
+    pub fn summary(&self, centre: &Name) -> Option<Summary> {
+        self.remote.summary(centre)
     }
 
-    /// Forgets the upstreams whose announcement has run out, and those of data
-    /// centres that were silent for too long; returns what was known of them.
+    /// Removes the upstreams whose announcement has expired and those of data
+    /// centres that have become unreachable; returns their last states.
     pub fn expire(&mut self, now: Time) -> Vec<Arc<UpstreamState>> {
         let expired = self.entries.extract_if(.., |_, e| e.expiry <= now);
         let mut expired: Vec<Arc<UpstreamState>> = expired.map(|(_, e)| e.state).collect();
         for state in &expired {
-            self.changes += 1;
-            self.bindings.forget(&state.name);
+            self.change_count += 1;
+            self.bindings.remove_upstream(&state.name);
         }
-        expired.extend(self.mirrors.expire(now));
-        self.news.extend(expired.iter().map(|s| s.name.clone()));
+        expired.extend(self.remote.expire(now));
+        self.changed.extend(expired.iter().map(|s| s.name.clone()));
         expired
     }
 
-    /// Forgets an upstream of the data centre at once.
+    /// Removes an upstream of the data centre immediately.
     pub fn remove(&mut self, name: &Name) -> Option<Arc<UpstreamState>> {
-        self.changes += 1;
-        self.bindings.forget(name);
-        self.news.insert(name.clone());
+        self.change_count += 1;
+        self.bindings.remove_upstream(name);
+        self.changed.insert(name.clone());
         self.entries.remove(name).map(|e| e.state)
     }
 
-    /// Returns the newest that is known of an upstream.
+    /// Returns the latest known state of an upstream.
     pub fn get(&self, name: &Name) -> Option<&Arc<UpstreamState>> {
-        let here = self.entries.get(name).map(|e| &e.state);
-        here.or_else(|| self.mirrors.get(name))
+        let local = self.entries.get(name).map(|e| &e.state);
+        local.or_else(|| self.remote.get(name))
     }
 
-    /// Iterates over the upstreams of the data centre in the order of names.
-    pub fn here(&self) -> impl Iterator<Item = &Arc<UpstreamState>> {
+    /// Iterates over the upstreams of this data centre, sorted by name.
+    pub fn local(&self) -> impl Iterator<Item = &Arc<UpstreamState>> {
         self.entries.values().map(|e| &e.state)
     }
 
-    /// Iterates over all upstreams, those of the data centre first.
+    /// Iterates over all upstreams, those of this data centre first.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<UpstreamState>> {
-        self.here().chain(self.mirrors.iter())
+        self.local().chain(self.remote.iter())
     }
 
-    /// Returns the number of upstreams that are alive.
+    /// Returns the number of live upstreams.
     pub fn len(&self) -> usize {
-        self.entries.len() + self.mirrors.len()
+        self.entries.len() + self.remote.len()
     }
 
-    /// Reports whether no upstream is alive.
+    /// Reports whether there are no live upstreams.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
 impl Entry {
-    fn relayed(&self) -> Relayed {
+    fn relayed_state(&self) -> RelayedState {
         let state = UpstreamState {
             sequence: self.version,
             ..UpstreamState::clone(&self.state)
         };
         let index = self.index;
-        Relayed { index, state }
+        RelayedState { index, state }
     }
 }
 
--- a/crates/sequoiawing_fleet/src/renewal.rs
+++ b/crates/sequoiawing_fleet/src/renewal.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What an upstream announces between two whole announcements, when nothing
-/// but its load has changed.
+/// A short announcement that an upstream sends between two full ones when only
+/// its load has changed.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Renewal {
@@ -12,26 +12,28 @@
     pub name: Name,
     /// The upstream's epoch.
     pub epoch: u64,
-    /// The sequence of its last whole announcement.
+    /// The sequence number of its last full announcement.
     pub base: u64,
-    /// Counts announcements and renewals of one epoch.
+    /// Numbers the announcements and renewals within an epoch.
     pub sequence: u64,
-    /// The requests that it runs now.
+    /// The number of requests that it is running.
     pub running: u32,
-    /// Models and adapters that run requests now, or ran some since the
+    /// The models and adapters that are running requests, or ran any since the
     /// previous announcement or renewal.
     pub active: Vec<Name>,
 }
 
 impl Renewal {
-    /// How often upstreams are asked to renew; see docs/UPSTREAMS.md.
+    /// The interval at which upstreams should renew; see docs/UPSTREAMS.md.
     pub const INTERVAL: Duration = Duration::from_secs(1);
 
-    /// How often upstreams are asked to announce themselves whole.
-    pub const WHOLE_INTERVAL: Duration = Duration::from_secs(2);
+    /// The interval at which upstreams should send a full announcement.
+    pub const FULL_INTERVAL: Duration = Duration::from_secs(2);
 
-    /// Returns what takes the place of a whole announcement, after another one
-    /// that differs in its load only.
+    /// Returns the renewal that replaces the full announcement of `state`.
+    ///
+    /// `base` is the sequence number of an earlier full announcement that
+    /// differs in the load only.
     pub fn of(state: &UpstreamState, base: u64) -> Self {
         Self {
             name: state.name.clone(),
--- a/crates/sequoiawing_fleet/src/roster.rs
+++ b/crates/sequoiawing_fleet/src/roster.rs
@@ -3,94 +3,96 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-/// How long an upstream that was not heard of is remembered, so that a late
-/// announcement of a former start is still known as one.
-const MEMORY: Duration = Duration::from_mins(5);
+/// How long a silent upstream is kept, so that late announcements from before a
+/// restart are still recognized.
+const RETENTION: Duration = Duration::from_mins(5);
 
-/// An upstream as a [`Roster`] lists it.
+/// An upstream as listed in a [`Roster`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Listed {
-    /// What it announced last.
+pub struct RosterEntry {
+    /// Its last announcement.
     pub state: Arc<UpstreamState>,
-    /// Whether it has left, or another start has taken its address.
+    /// Whether it has left, or a later start has taken over its address.
     pub gone: bool,
 }
 
-/// How far a follower of a roster has come.
+/// The position of a follower in the changes of a roster.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Cursor {
-    /// Names the start of the process that keeps the roster.
+    /// Identifies the start of the process that keeps the roster.
     pub epoch: u64,
-    /// The last change that the follower has.
+    /// The stamp of the last change that the follower has received.
     pub stamp: u64,
 }
 
-/// What is new to a follower of a roster.
+/// The changes of a roster since a follower's cursor.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct RosterNews {
-    /// Where the follower stands with this.
+pub struct RosterUpdate {
+    /// The follower's cursor after this update.
     pub cursor: Cursor,
-    /// The upstreams of which something changed.
-    pub listed: Vec<Listed>,
+    /// The changed upstreams.
+    pub listed: Vec<RosterEntry>,
 }
 
-/// What is new to a follower.
+/// The changes that a follower receives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Interest {
-    /// Only what decides where requests go.
+    /// Only changes that affect where requests are sent.
     Changes,
-    /// Every announcement, for those who judge who is silent.
+    /// Every announcement, for followers that detect silent upstreams.
     Announcements,
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
-    listed: Listed,
-    heard: Time,
-    /// The stamp of the last change of what was announced.
+struct TrackedEntry {
+    listed: RosterEntry,
+    last_heard: Time,
+    /// The stamp of the last change in the announced state.
     changed: u64,
     /// The stamp of the last announcement.
-    touched: u64,
+    announced: u64,
 }
 
-/// The upstreams of a deployment, by what they announce of themselves.
+/// The upstreams of a deployment, as they announce themselves.
 ///
-/// Announcements may be repeated, late and reordered: of one name the later
-/// start counts, and of one start the later announcement. Rosters of several
-/// processes that follow each other become equal, whoever an upstream speaks
+/// Announcements may be duplicated, delayed and reordered: for each name, the
+/// latest announcement of the latest start is kept. Rosters of processes that
+/// follow each other converge, whichever process an upstream announces itself
 /// to.
 #[derive(Clone, Debug)]
 pub struct Roster {
     epoch: u64,
     stamp: u64,
-    entries: BTreeMap<Name, Entry>,
-    /// The newest start that announced itself at an address.
-    holders: BTreeMap<SocketAddr, Name>,
+    entries: BTreeMap<Name, TrackedEntry>,
+    /// The upstream with the latest start at each address.
+    address_owners: BTreeMap<SocketAddr, Name>,
 }
 
 impl Roster {
-    /// Returns an empty roster; `epoch` names the start of this process.
+    /// Returns an empty roster; `epoch` identifies the start of this process.
     pub fn new(epoch: u64) -> Self {
         Self {
             epoch,
             stamp: 0,
             entries: BTreeMap::new(),
-            holders: BTreeMap::new(),
+            address_owners: BTreeMap::new(),
         }
     }
 
-    /// Takes in an announcement; reports whether it changed what is known.
+    /// Applies an announcement; reports whether the known state changed.
     pub fn announce(&mut self, now: Time, state: UpstreamState) -> bool {
         let gone = false;
         let state = Arc::new(state);
-        self.take(now, Listed { state, gone })
+        self.apply(now, RosterEntry { state, gone })
     }
 
-    /// Takes in that an upstream has left. Without a start, the one that is
-    /// known is meant.
+    /// Marks an upstream as gone because it has left; reports whether the known
+    /// state changed.
+    ///
+    /// Without an `epoch`, the known start of the upstream is meant.
     pub fn leave(&mut self, now: Time, name: &Name, epoch: Option<u64>) -> bool {
         let Some(entry) = self.entries.get(name) else {
             return false;
@@ -104,63 +106,63 @@
         state.sequence = u64::MAX;
         state.leaving = true;
         let state = Arc::new(state);
-        self.take(now, Listed { state, gone: true })
+        self.apply(now, RosterEntry { state, gone: true })
     }
 
-    /// Takes in what another roster lists; reports whether it changed what is
-    /// known.
-    pub fn take(&mut self, now: Time, listed: Listed) -> bool {
+    /// Applies an entry of another roster; reports whether the known state
+    /// changed.
+    pub fn apply(&mut self, now: Time, listed: RosterEntry) -> bool {
         let name = listed.state.name.clone();
         let known = self.entries.get(&name);
-        let is_newer = |entry: &Entry| listed.state.version() > entry.listed.state.version();
+        let is_newer = |entry: &TrackedEntry| listed.state.version() > entry.listed.state.version();
         if !known.is_none_or(is_newer) {
             return self.mark_gone(&name, &listed);
         }
         let is_same = known.is_some_and(|entry| is_equivalent(&entry.listed, &listed));
-        let listed = self.settle_address(listed);
+        let listed = self.resolve_address(listed);
         self.stamp += 1;
-        let changed = match known_change(self.entries.get(&name)) {
+        let changed = match last_change(self.entries.get(&name)) {
             Some(changed) if is_same => changed,
             _ => self.stamp,
         };
-        let entry = Entry {
+        let entry = TrackedEntry {
             listed,
-            heard: now,
+            last_heard: now,
             changed,
-            touched: self.stamp,
+            announced: self.stamp,
         };
         self.entries.insert(name, entry);
         !is_same
     }
 
-    /// Notes that an upstream is gone whose last announcement is known.
-    fn mark_gone(&mut self, name: &Name, listed: &Listed) -> bool {
+    /// Marks an upstream as gone if `listed` says so of its last announcement.
+    fn mark_gone(&mut self, name: &Name, listed: &RosterEntry) -> bool {
         let Some(entry) = self.entries.get_mut(name) else {
             return false;
         };
-        let is_known = entry.listed.state.version() == listed.state.version();
-        if !is_known || !listed.gone || entry.listed.gone {
+        let is_same = entry.listed.state.version() == listed.state.version();
+        if !is_same || !listed.gone || entry.listed.gone {
             return false;
         }
         self.stamp += 1;
         entry.listed.gone = true;
         entry.changed = self.stamp;
-        entry.touched = self.stamp;
+        entry.announced = self.stamp;
         true
     }
 
-    /// Lets the newest start at an address stand for it, since the others must
-    /// have ended.
-    fn settle_address(&mut self, mut listed: Listed) -> Listed {
+    /// Marks all but the latest start at an address as gone, since the earlier
+    /// processes must have ended.
+    fn resolve_address(&mut self, mut listed: RosterEntry) -> RosterEntry {
         let Some(address) = listed.state.address.filter(|_| !listed.gone) else {
             return listed;
         };
-        let former = self.holders.get(&address).cloned();
-        let former = former.filter(|name| *name != listed.state.name);
-        if let Some(name) = former {
+        let previous = self.address_owners.get(&address).cloned();
+        let previous = previous.filter(|name| *name != listed.state.name);
+        if let Some(name) = previous {
             let entry = self.entries.get(&name).filter(|e| !e.listed.gone);
-            let born = entry.map(|e| e.listed.state.epoch);
-            if born.is_some_and(|b| b > listed.state.epoch) {
+            let epoch = entry.map(|e| e.listed.state.epoch);
+            if epoch.is_some_and(|e| e > listed.state.epoch) {
                 listed.gone = true;
                 return listed;
             }
@@ -168,35 +170,38 @@
                 self.stamp += 1;
                 entry.listed.gone = true;
                 entry.changed = self.stamp;
-                entry.touched = self.stamp;
+                entry.announced = self.stamp;
             }
         }
-        self.holders.insert(address, listed.state.name.clone());
+        self.address_owners
+            .insert(address, listed.state.name.clone());
         listed
     }
 
-    /// Forgets who was silent for long.
+    /// Removes the upstreams that have been silent for longer than the retention
+    /// period.
     pub fn expire(&mut self, now: Time) {
-        self.entries.retain(|_, e| now < e.heard + MEMORY);
+        self.entries.retain(|_, e| now < e.last_heard + RETENTION);
         let entries = &self.entries;
-        self.holders.retain(|_, name| entries.contains_key(name));
+        self.address_owners
+            .retain(|_, name| entries.contains_key(name));
     }
 
-    /// Returns what is new to a follower; all that is known when the cursor is
-    /// of another roster.
-    pub fn since(&self, cursor: Cursor, interest: Interest) -> RosterNews {
+    /// Returns the changes since a follower's cursor; all entries if the cursor
+    /// belongs to another roster.
+    pub fn updates_since(&self, cursor: Cursor, interest: Interest) -> RosterUpdate {
         let is_known = cursor.epoch == self.epoch;
         let after = if is_known { cursor.stamp } else { 0 };
-        let stamp = |e: &Entry| match interest {
+        let stamp = |e: &TrackedEntry| match interest {
             Interest::Changes => e.changed,
-            Interest::Announcements => e.touched,
+            Interest::Announcements => e.announced,
         };
         let newer = self.entries.values().filter(|e| stamp(e) > after);
         let listed = newer.map(|e| match interest {
-            Interest::Changes => without_copies(&e.listed),
+            Interest::Changes => without_checkpoints(&e.listed),
             Interest::Announcements => e.listed.clone(),
         });
-        RosterNews {
+        RosterUpdate {
             cursor: Cursor {
                 epoch: self.epoch,
                 stamp: self.stamp,
@@ -205,54 +210,55 @@
         }
     }
 
-    /// Returns the upstreams that may serve.
-    pub fn present(&self) -> impl Iterator<Item = &Arc<UpstreamState>> {
-        let present = self.entries.values().filter(|e| !e.listed.gone);
-        present.map(|e| &e.listed.state)
+    /// Returns the upstreams that are not gone.
+    pub fn live(&self) -> impl Iterator<Item = &Arc<UpstreamState>> {
+        let live = self.entries.values().filter(|e| !e.listed.gone);
+        live.map(|e| &e.listed.state)
     }
 
-    /// Returns the upstream of that name, unless it is gone.
+    /// Returns the upstream of the given name, unless it is gone.
     pub fn get(&self, name: &Name) -> Option<&Arc<UpstreamState>> {
         let entry = self.entries.get(name).filter(|e| !e.listed.gone);
         entry.map(|e| &e.listed.state)
     }
 
-    /// Returns the upstreams that have announced nothing for longer than
+    /// Returns the live upstreams that have announced nothing for longer than
     /// `limit`.
     pub fn silent(&self, now: Time, limit: Duration) -> Vec<Name> {
-        let present = self.entries.iter().filter(|(_, e)| !e.listed.gone);
-        let silent = present.filter(|(_, e)| now.since(e.heard) > limit);
+        let live = self.entries.iter().filter(|(_, e)| !e.listed.gone);
+        let silent = live.filter(|(_, e)| now.since(e.last_heard) > limit);
         silent.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns how long ago an upstream announced itself.
+    /// Returns the time since an upstream last announced itself.
     pub fn age(&self, now: Time, name: &Name) -> Option<Duration> {
-        self.entries.get(name).map(|e| now.since(e.heard))
+        self.entries.get(name).map(|e| now.since(e.last_heard))
     }
 }
 
-/// Returns an entry without the copies of weights at hand, which are most of it
-/// and decide about loads alone.
-fn without_copies(listed: &Listed) -> Listed {
+/// Returns an entry without the lists of checkpoints on disk and in main memory,
+/// which make up most of its size and matter only for loads.
+fn without_checkpoints(listed: &RosterEntry) -> RosterEntry {
     if listed.state.disk.is_empty() && listed.state.cached.is_empty() {
         return listed.clone();
     }
     let mut state = UpstreamState::clone(&listed.state);
     state.disk.clear();
     state.cached.clear();
-    Listed {
+    RosterEntry {
         state: Arc::new(state),
         gone: listed.gone,
     }
 }
 
-fn known_change(entry: Option<&Entry>) -> Option<u64> {
+fn last_change(entry: Option<&TrackedEntry>) -> Option<u64> {
     entry.map(|e| e.changed)
 }
 
-/// Reports whether two entries differ only in what requests do not depend on:
-/// the count of announcements, the load and the copies of weights at hand.
-fn is_equivalent(known: &Listed, next: &Listed) -> bool {
+/// Reports whether two entries differ at most in fields that do not affect where
+/// requests are sent: the sequence number, the load and the checkpoints on disk
+/// and in main memory.
+fn is_equivalent(known: &RosterEntry, next: &RosterEntry) -> bool {
     let mut state = UpstreamState::clone(&next.state);
     state.sequence = known.state.sequence;
     state.running = known.state.running;
--- a/crates/sequoiawing_fleet/src/summary.rs
+++ b/crates/sequoiawing_fleet/src/summary.rs
@@ -2,21 +2,24 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// Orders the routers that speak for a data centre: a later leader comes after
-/// an earlier one, and any leader after a router that does not lead.
+/// Orders the routers that publish the summaries of a data centre.
+///
+/// A leader of a later term ranks above one of an earlier term, and any leader
+/// ranks above a router that does not lead.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Rank {
-    /// The term in which the router leads its data centre's cell, or zero.
+    /// The term in which the router leads its data centre's cell; zero if it
+    /// does not lead.
     pub term: u64,
-    /// Grows with each start of the process.
+    /// Identifies the start of the process; a later start has a higher number.
     pub start: u64,
 }
 
-/// A list of an upstream's state that changes often.
+/// One of the frequently changing lists in an upstream's state.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Place {
+pub enum StateList {
     /// The loaded models.
     Loaded,
     /// The loaded adapters.
@@ -29,7 +32,7 @@
     Cached,
 }
 
-impl Place {
+impl StateList {
     pub(crate) const ALL: [Self; 5] = [
         Self::Loaded,
         Self::Adapter,
@@ -38,7 +41,7 @@
         Self::Cached,
     ];
 
-    pub(crate) fn of(self, state: &UpstreamState) -> &Vec<Name> {
+    pub(crate) fn get(self, state: &UpstreamState) -> &Vec<Name> {
         match self {
             Self::Loaded => &state.loaded,
             Self::Adapter => &state.adapters,
@@ -48,7 +51,7 @@
         }
     }
 
-    pub(crate) fn of_mut(self, state: &mut UpstreamState) -> &mut Vec<Name> {
+    pub(crate) fn get_mut(self, state: &mut UpstreamState) -> &mut Vec<Name> {
         match self {
             Self::Loaded => &mut state.loaded,
             Self::Adapter => &mut state.adapters,
@@ -59,22 +62,22 @@
     }
 }
 
-/// One change of a data centre's summary.
+/// A change in a data centre's summary.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SummaryChange {
-    /// An upstream is new, or more of it changed than its lists.
+    /// An upstream is new, or more than its lists changed.
     Put(Box<UpstreamState>),
-    /// The lists of an upstream changed.
+    /// Items of an upstream's lists changed.
     Move {
         /// The upstream.
         name: Name,
-        /// What is listed now.
-        gained: Vec<(Place, Name)>,
-        /// What is listed no more.
-        lost: Vec<(Place, Name)>,
+        /// The items that were added to the lists.
+        gained: Vec<(StateList, Name)>,
+        /// The items that were removed from the lists.
+        lost: Vec<(StateList, Name)>,
     },
-    /// An upstream is gone.
+    /// An upstream was removed.
     Remove(Name),
 }
 
@@ -84,28 +87,29 @@
     }
 }
 
-/// What one data centre tells the others: what is loaded where, but no loads.
+/// The state that one data centre publishes to the others: which upstreams
+/// have what loaded, but not how many requests they run.
 ///
-/// One router speaks for its data centre. It numbers its summaries, so that a
-/// receiver notices a gap and asks for the whole.
+/// One router publishes for its data centre. It numbers its summaries, so that a
+/// receiver detects a gap and requests a full summary.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Summary {
-    /// The data centre that is summarised.
+    /// The summarised data centre.
     pub centre: Name,
-    /// The router that speaks for it.
+    /// The rank of the publishing router.
     pub rank: Rank,
-    /// The serial that the changes begin at; `None` for the whole.
+    /// The serial that the changes apply to; `None` in a full summary.
     pub base: Option<u64>,
-    /// The serial that the changes lead to.
+    /// The serial after the changes.
     pub serial: u64,
-    /// The changes; all upstreams in a whole summary.
+    /// The changes; all upstreams in a full summary.
     pub changes: Vec<SummaryChange>,
 }
 
 impl Summary {
-    /// Returns a summary without changes, by which a receiver learns that the
-    /// data centre is reachable and whether it has missed anything.
+    /// Returns a summary without changes, which tells a receiver that the data
+    /// centre is reachable and whether it missed a change.
     #[must_use]
     pub fn confirmation(&self) -> Self {
         Self {
@@ -117,8 +121,8 @@
         }
     }
 
-    /// Builds a whole summary.
-    pub(crate) fn whole<'a, I>(centre: Name, rank: Rank, serial: u64, states: I) -> Self
+    /// Builds a full summary.
+    pub(crate) fn full<'a, I>(centre: Name, rank: Rank, serial: u64, states: I) -> Self
     where
         I: Iterator<Item = &'a UpstreamState>,
     {
--- a/crates/sequoiawing_fleet/tests/network/mod.rs
+++ b/crates/sequoiawing_fleet/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! Two data centres whose routers relay upstreams to each other.
+//! A simulation of two data centres whose routers relay upstreams to each other.
 
 mod router;
 
@@ -16,13 +16,13 @@
 const SOUTH: usize = 3;
 const UPSTREAMS: u64 = 4;
 
-/// How long an announcement holds, in milliseconds.
-const LIFETIME: u64 = 5_000;
+/// The lifetime of an announcement, in milliseconds.
+const LIFETIME_MS: u64 = 5_000;
 
-/// What an upstream said once, without its load.
-type Said = (Name, u64, Vec<Name>, Vec<Name>);
+/// An announced state without the load: name, epoch, loaded models and adapters.
+type AnnouncedState = (Name, u64, Vec<Name>, Vec<Name>);
 
-fn said(state: &UpstreamState) -> Said {
+fn announced_state(state: &UpstreamState) -> AnnouncedState {
     let mut loaded = state.loaded.clone();
     let mut adapters = state.adapters.clone();
     loaded.sort();
@@ -30,47 +30,49 @@
     (state.name.clone(), state.epoch, loaded, adapters)
 }
 
-/// The upstreams of the north, the routers of both data centres and what is on
-/// its way between them.
-pub(crate) struct World {
-    random: ChaCha8Rng,
+/// The upstreams of the data centre `north`, the routers of both data centres and
+/// the messages in flight between them.
+pub(crate) struct Simulation {
+    rng: ChaCha8Rng,
     now: Time,
     upstreams: BTreeMap<Name, UpstreamState>,
-    history: BTreeSet<Said>,
-    /// The last whole announcement of each upstream, by its sequence.
-    whole: BTreeMap<Name, (u64, Said)>,
+    history: BTreeSet<AnnouncedState>,
+    /// The sequence number and state of each upstream's last full announcement.
+    last_full: BTreeMap<Name, (u64, AnnouncedState)>,
     routers: Vec<Router>,
     leader: usize,
     term: u64,
     start: u64,
-    flying: Vec<(Time, Message)>,
+    in_flight: Vec<(Time, Message)>,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(seed: u64) -> Self {
         let routers = (0..NORTH + SOUTH).map(|i| Router::new(i, i < NORTH, 1));
         Self {
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             now: Time::ZERO,
             upstreams: BTreeMap::new(),
             history: BTreeSet::new(),
-            whole: BTreeMap::new(),
+            last_full: BTreeMap::new(),
             routers: routers.collect(),
             leader: 0,
             term: 1,
             start: 1,
-            flying: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    /// Lets a second pass; a failing network loses, repeats and reorders, and
-    /// upstreams and routers change and restart. Moving upstreams announce
-    /// themselves to another router now and then.
+    /// Advances the time by one second.
+    ///
+    /// While `failing`, the network loses, duplicates and reorders messages, and
+    /// upstreams and routers change and restart. While `moving`, upstreams
+    /// occasionally announce themselves to another router.
     pub(crate) fn step(&mut self, failing: bool, moving: bool) {
         self.now = self.now + Duration::from_secs(1);
         if failing {
             self.change_upstream();
-            self.disturb_routers();
+            self.inject_router_faults();
         }
         self.announce(moving);
         for i in 0..self.routers.len() {
@@ -83,12 +85,12 @@
     }
 
     fn change_upstream(&mut self) {
-        let name = Name::from(format!("runner-{}", self.random.random_range(0..UPSTREAMS)));
-        let item = self.random.random_range(0..5_u8);
+        let name = Name::from(format!("runner-{}", self.rng.random_range(0..UPSTREAMS)));
+        let item = self.rng.random_range(0..5_u8);
         let model = Name::from(format!("model-{item}"));
         let adapter = Name::from(format!("model-{item}:adapter-{item}"));
         let epoch = self.now.as_micros();
-        match self.random.random_range(0..20) {
+        match self.rng.random_range(0..20) {
             0 => {
                 self.upstreams.remove(&name);
             }
@@ -100,7 +102,7 @@
                         name: name.clone(),
                         centre: Name::from("north"),
                         epoch,
-                        lifetime: LIFETIME,
+                        lifetime: LIFETIME_MS,
                         ..UpstreamState::default()
                     });
                 toggle(&mut state.loaded, model);
@@ -110,14 +112,14 @@
         }
     }
 
-    fn disturb_routers(&mut self) {
-        if self.random.random_bool(0.05) {
-            self.leader = self.random.random_range(0..NORTH);
+    fn inject_router_faults(&mut self) {
+        if self.rng.random_bool(0.05) {
+            self.leader = self.rng.random_range(0..NORTH);
             self.term += 1;
         }
-        if self.random.random_bool(0.03) {
+        if self.rng.random_bool(0.03) {
             self.start += 1;
-            let i = self.random.random_range(0..self.routers.len());
+            let i = self.rng.random_range(0..self.routers.len());
             self.routers[i] = Router::new(i, i < NORTH, self.start);
             if i == self.leader {
                 self.term += 1;
@@ -128,26 +130,26 @@
     fn announce(&mut self, moving: bool) {
         for state in self.upstreams.values_mut() {
             state.sequence += 1;
-            state.running = self.random.random_range(0..64);
+            state.running = self.rng.random_range(0..64);
             state.active = state.loaded.iter().take(1).cloned().collect();
-            self.history.insert(said(state));
-            let sticky = usize::try_from(state.epoch % 3).unwrap_or(0);
-            let moved = moving && self.random.random_bool(0.1);
-            let router = if moved {
-                self.random.random_range(0..NORTH)
+            self.history.insert(announced_state(state));
+            let home = usize::try_from(state.epoch % 3).unwrap_or(0);
+            let is_moved = moving && self.rng.random_bool(0.1);
+            let router = if is_moved {
+                self.rng.random_range(0..NORTH)
             } else {
-                sticky
+                home
             };
-            let known = self.whole.get(&state.name);
-            let known = known.filter(|(_, whole)| *whole == said(state));
-            if let Some((base, _)) = known.filter(|_| self.random.random_bool(0.7)) {
+            let known = self.last_full.get(&state.name);
+            let known = known.filter(|(_, full)| *full == announced_state(state));
+            if let Some((base, _)) = known.filter(|_| self.rng.random_bool(0.7)) {
                 let renewal = Renewal::of(state, *base);
                 if self.routers[router].renew(self.now, &renewal) {
                     continue;
                 }
             }
-            let whole = (state.sequence, said(state));
-            self.whole.insert(state.name.clone(), whole);
+            let full = (state.sequence, announced_state(state));
+            self.last_full.insert(state.name.clone(), full);
             self.routers[router].announce(self.now, state.clone());
         }
     }
@@ -163,7 +165,7 @@
             self.send(i, to, batch.clone(), failing);
         }
         if let Some(summary) = summary {
-            let to = self.random.random_range(NORTH..NORTH + SOUTH);
+            let to = self.rng.random_range(NORTH..NORTH + SOUTH);
             let batch = Batch {
                 summaries: vec![summary],
                 spread: true,
@@ -176,39 +178,39 @@
     fn send(&mut self, from: usize, to: usize, batch: Batch, failing: bool) {
         let message = Message { from, to, batch };
         if !failing {
-            self.flying.push((self.now, message));
+            self.in_flight.push((self.now, message));
             return;
         }
-        let copies = [0, 0, 1, 1, 1, 1, 2][self.random.random_range(0..7)];
+        let copies = [0, 0, 1, 1, 1, 1, 2][self.rng.random_range(0..7)];
         for _ in 0..copies {
-            let delay = Duration::from_secs(self.random.random_range(0..6));
-            self.flying.push((self.now + delay, message.clone()));
+            let delay = Duration::from_secs(self.rng.random_range(0..6));
+            self.in_flight.push((self.now + delay, message.clone()));
         }
     }
 
     fn deliver(&mut self, failing: bool) {
         loop {
             let due = |(at, _): &(Time, Message)| *at <= self.now;
-            let Some(next) = self.flying.iter().position(due) else {
+            let Some(next) = self.in_flight.iter().position(due) else {
                 return;
             };
-            let (_, Message { from, to, batch }) = self.flying.swap_remove(next);
+            let (_, Message { from, to, batch }) = self.in_flight.swap_remove(next);
             let spread = batch.spread;
-            let missing = self.routers[to].take(self.now, batch);
-            if let Some(whole) = self.routers[from].whole(&missing, spread) {
-                self.send(from, to, whole, failing);
+            let missing = self.routers[to].handle_batch(self.now, batch);
+            if let Some(reply) = self.routers[from].missing_states(&missing, spread) {
+                self.send(from, to, reply, failing);
             }
         }
     }
 
-    /// Checks that no router believes what no upstream ever said.
-    pub(crate) fn check(&self, seed: u64) {
+    /// Checks that routers know only states that upstreams have announced.
+    pub(crate) fn check_known_states(&self, seed: u64) {
         for router in &self.routers {
             for state in router.registry.iter() {
-                let known = said(state);
+                let known = announced_state(state);
                 assert!(
                     self.history.contains(&known),
-                    "seed {seed}: {} believes {known:?}",
+                    "seed {seed}: {} knows {known:?}, which was never announced",
                     router.source.host
                 );
                 let is_loaded = |name: &Name| state.loaded.contains(name);
@@ -217,13 +219,14 @@
         }
     }
 
-    /// Checks that every router knows all upstreams as they are now.
-    pub(crate) fn check_equal(&self, seed: u64) {
-        let truth: Vec<Said> = self.upstreams.values().map(said).collect();
+    /// Checks that every router knows the current state of all upstreams.
+    pub(crate) fn check_converged(&self, seed: u64) {
+        let expected: Vec<AnnouncedState> = self.upstreams.values().map(announced_state).collect();
         for router in &self.routers {
-            let known: Vec<Said> = router.registry.iter().map(|s| said(s)).collect();
-            assert_eq!(known, truth, "seed {seed}: {}", router.source.host);
-            for state in router.registry.here() {
+            let known: Vec<AnnouncedState> =
+                router.registry.iter().map(|s| announced_state(s)).collect();
+            assert_eq!(known, expected, "seed {seed}: {}", router.source.host);
+            for state in router.registry.local() {
                 let sequence = self.upstreams[&state.name].sequence;
                 assert_eq!(state.sequence, sequence, "seed {seed}: {}", state.name);
             }
--- a/crates/sequoiawing_fleet/tests/network/router.rs
+++ b/crates/sequoiawing_fleet/tests/network/router.rs
@@ -1,5 +1,6 @@
 use sequoiawing_fleet::{
-    Applied, LoadDelta, Publisher, Rank, Registry, Relayed, Renewal, Source, Summary, UpstreamState,
+    LoadDelta, Publisher, Rank, Registry, RelayedState, Renewal, Source, Summary, UpdateOutcome,
+    UpstreamState,
 };
 use sequoiawing_types::{Name, Time};
 use std::{
@@ -8,16 +9,17 @@
     time::Duration,
 };
 
-/// How long a router relays an upstream that announces itself here no more.
-const OWN_LIFETIME: Duration = Duration::from_secs(20);
+/// How long a router relays an upstream after its last announcement to this
+/// router.
+const RELAY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often a data centre confirms its summary.
-const CONFIRM: Duration = Duration::from_secs(2);
+/// The interval at which a data centre confirms its summary.
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Default)]
 pub(crate) struct Batch {
     pub(crate) source: Source,
-    pub(crate) states: Vec<Relayed>,
+    pub(crate) states: Vec<RelayedState>,
     pub(crate) loads: Vec<LoadDelta>,
     pub(crate) summaries: Vec<Summary>,
     pub(crate) spread: bool,
@@ -30,22 +32,22 @@
     pub(crate) batch: Batch,
 }
 
-/// What a router must be sent whole.
+/// The states and summaries that a router lacks.
 #[derive(Default)]
 pub(crate) struct Missing {
     indexes: Vec<u64>,
     centres: Vec<Name>,
 }
 
-/// One router's registry, without I/O.
+/// A router with its registry, without I/O.
 pub(crate) struct Router {
     pub(crate) source: Source,
     pub(crate) registry: Registry,
     publisher: Publisher,
-    confirmed: Time,
-    own: BTreeMap<Name, Time>,
+    last_confirmed: Time,
+    announced_here: BTreeMap<Name, Time>,
     changed: BTreeSet<Name>,
-    pass: Vec<Summary>,
+    forward: Vec<Summary>,
 }
 
 impl Router {
@@ -56,102 +58,111 @@
             source: Source { host, start },
             registry: Registry::default(),
             publisher: Publisher::new(centre),
-            confirmed: Time::ZERO,
-            own: BTreeMap::new(),
+            last_confirmed: Time::ZERO,
+            announced_here: BTreeMap::new(),
             changed: BTreeSet::new(),
-            pass: Vec::new(),
+            forward: Vec::new(),
         }
     }
 
     pub(crate) fn announce(&mut self, now: Time, state: UpstreamState) {
         let name = state.name.clone();
-        let applied = self.registry.announce(now, state);
-        if applied == Applied::Changed {
+        let outcome = self.registry.announce(now, state);
+        if outcome == UpdateOutcome::Changed {
             self.changed.insert(name.clone());
         }
-        if applied != Applied::Stale {
-            self.own.insert(name, now);
+        if outcome != UpdateOutcome::Stale {
+            self.announced_here.insert(name, now);
         }
     }
 
-    /// Takes in a renewal, and reports whether it is enough.
+    /// Applies a renewal; reports whether no full announcement is needed.
     pub(crate) fn renew(&mut self, now: Time, renewal: &Renewal) -> bool {
-        let applied = self.registry.renew(now, renewal);
-        if applied == Applied::Load {
-            self.own.insert(renewal.name.clone(), now);
+        let outcome = self.registry.renew(now, renewal);
+        if outcome == UpdateOutcome::LoadOnly {
+            self.announced_here.insert(renewal.name.clone(), now);
         }
-        applied != Applied::Unknown
+        outcome != UpdateOutcome::Unknown
     }
 
-    /// Returns what to tell the routers here, and the other data centre.
+    /// Returns the batch for the routers of this data centre, and the summary for
+    /// the other data centre if one is due.
     pub(crate) fn collect(&mut self, now: Time, rank: Option<Rank>) -> (Batch, Option<Summary>) {
-        self.own.retain(|_, at| now.since(*at) < OWN_LIFETIME);
+        self.announced_here
+            .retain(|_, at| now.since(*at) < RELAY_TIMEOUT);
         let changed = std::mem::take(&mut self.changed);
-        let states = changed.iter().filter_map(|n| self.registry.relayed(n));
-        let own = self.own.keys().filter(|n| !changed.contains(*n));
+        let states = changed
+            .iter()
+            .filter_map(|n| self.registry.relayed_state(n));
+        let own = self.announced_here.keys().filter(|n| !changed.contains(*n));
         let active = |n: &Name| {
             self.registry
                 .get(n)
                 .map(|s| s.active.iter().cloned().collect())
         };
-        let loads = own.filter_map(|n| self.registry.delta(n, &active(n)?));
+        let loads = own.filter_map(|n| self.registry.load_delta(n, &active(n)?));
         let batch = Batch {
             source: self.source.clone(),
             states: states.collect(),
             loads: loads.collect(),
-            summaries: std::mem::take(&mut self.pass),
+            summaries: std::mem::take(&mut self.forward),
             spread: false,
         };
         let summary = rank.map(|rank| {
             self.publisher
-                .publish(rank, self.registry.here().map(Arc::as_ref))
+                .publish(rank, self.registry.local().map(Arc::as_ref))
         });
-        let is_news =
-            |s: &Summary| s.base != Some(s.serial) || now.since(self.confirmed) >= CONFIRM;
-        let summary = summary.filter(is_news);
+        let is_due = |s: &Summary| {
+            s.base != Some(s.serial) || now.since(self.last_confirmed) >= CONFIRM_INTERVAL
+        };
+        let summary = summary.filter(is_due);
         if summary.is_some() {
-            self.confirmed = now;
+            self.last_confirmed = now;
         }
         (batch, summary)
     }
 
-    pub(crate) fn take(&mut self, now: Time, batch: Batch) -> Missing {
+    pub(crate) fn handle_batch(&mut self, now: Time, batch: Batch) -> Missing {
         let mut missing = Missing::default();
         for relayed in batch.states {
-            self.registry.adopt(now, &batch.source, relayed);
+            self.registry.apply_relayed(now, &batch.source, relayed);
         }
         for load in &batch.loads {
-            if self.registry.update(now, &batch.source, load).is_none() {
+            if self
+                .registry
+                .apply_delta(now, &batch.source, load)
+                .is_none()
+            {
                 missing.indexes.push(load.index);
             }
         }
         for summary in &batch.summaries {
-            let absorbed = self.registry.absorb(now, summary);
-            if absorbed.applied == Applied::Unknown {
+            let update = self.registry.apply_summary(now, summary);
+            if update.outcome == UpdateOutcome::Unknown {
                 missing.centres.push(summary.centre.clone());
             }
-            self.pass.extend(absorbed.pass.filter(|_| batch.spread));
+            self.forward.extend(update.forward.filter(|_| batch.spread));
         }
         missing
     }
 
-    /// Returns what the other router asked for.
-    pub(crate) fn whole(&self, missing: &Missing, spread: bool) -> Option<Batch> {
+    /// Returns the states and summaries that another router lacks.
+    pub(crate) fn missing_states(&self, missing: &Missing, spread: bool) -> Option<Batch> {
         if missing.indexes.is_empty() && missing.centres.is_empty() {
             return None;
         }
         let indexes = missing.indexes.iter();
-        let states = indexes.filter_map(|i| self.registry.indexed(*i));
-        let whole = |centre: &Name| {
+        let states = indexes.filter_map(|i| self.registry.relayed_by_index(*i));
+        let full_summary = |centre: &Name| {
             let is_north = centre.as_str() == "north";
-            let own = (is_north && spread).then(|| self.publisher.whole());
-            own.or_else(|| self.registry.whole(centre))
+            let own = (is_north && spread).then(|| self.publisher.full_summary());
+            own.or_else(|| self.registry.summary(centre))
         };
         Some(Batch {
             source: self.source.clone(),
             states: states.collect(),
             loads: Vec::new(),
-            summaries: missing.centres.iter().filter_map(whole).collect(),
+            summaries: missing.centres.iter().filter_map(full_summary).collect(),
             spread,
         })
     }
--- a/crates/sequoiawing_fleet/tests/registry.rs
+++ b/crates/sequoiawing_fleet/tests/registry.rs
@@ -1,6 +1,6 @@
-//! Checks what a registry keeps of upstreams.
+//! Tests of what a registry keeps about upstreams.
 
-use sequoiawing_fleet::{Applied, Publisher, Rank, Registry, Renewal, UpstreamState};
+use sequoiawing_fleet::{Publisher, Rank, Registry, Renewal, UpdateOutcome, UpstreamState};
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     }
 }
 
-fn places(registry: &Registry) -> Vec<*const u8> {
+fn addresses(registry: &Registry) -> Vec<*const u8> {
     let loaded = registry.iter().flat_map(|s| &s.loaded);
     loaded.map(|model| model.as_str().as_ptr()).collect()
 }
@@ -25,29 +25,29 @@
     for i in 0..2 {
         registry.announce(Time::ZERO, state(i, &["caption".to_owned()]));
     }
-    let places = places(&registry);
-    assert_eq!(places[0], places[1]);
+    let addresses = addresses(&registry);
+    assert_eq!(addresses[0], addresses[1]);
 }
 
 #[test]
-fn upstreams_of_other_data_centres_share_them_too() {
+fn upstreams_of_other_data_centres_share_the_names_of_models() {
     let mut registry = Registry::default();
     registry.announce(Time::ZERO, state(0, &["caption".to_owned()]));
     let mut publisher = Publisher::new(Name::from("north"));
     let states = [state(1, &["caption".to_owned()])];
-    registry.absorb(
+    registry.apply_summary(
         Time::ZERO,
         &publisher.publish(Rank::default(), states.iter()),
     );
-    registry.absorb(Time::ZERO, &publisher.whole());
-    let places = places(&registry);
-    assert_eq!(places.len(), 2);
-    assert_eq!(places[0], places[1]);
+    registry.apply_summary(Time::ZERO, &publisher.full_summary());
+    let addresses = addresses(&registry);
+    assert_eq!(addresses.len(), 2);
+    assert_eq!(addresses[0], addresses[1]);
 }
 
-/// More names than are kept before unused ones are looked for.
+/// Announces more names than the threshold at which unused names are removed.
 #[test]
-fn names_that_nobody_uses_any_more_are_forgotten_and_others_kept() {
+fn unused_names_are_removed_and_others_kept() {
     let mut registry = Registry::default();
     registry.announce(Time::ZERO, state(0, &["caption".to_owned()]));
     for i in 0..5_000 {
@@ -56,15 +56,15 @@
         registry.announce(Time::ZERO, state);
     }
     registry.announce(Time::ZERO, state(2, &["caption".to_owned()]));
-    let places = places(&registry);
-    assert_eq!(places[0], places[2]);
+    let addresses = addresses(&registry);
+    assert_eq!(addresses[0], addresses[2]);
 }
 
-/// Announces whole at the sequences of `whole`, renews, and returns what became
-/// of the renewal.
-fn renew(whole: &[(u64, &str)], epoch: u64, base: u64, sequence: u64) -> Applied {
+/// Sends a full announcement for each sequence number and model in `full`, then
+/// a renewal, and returns the outcome of the renewal.
+fn renew(full: &[(u64, &str)], epoch: u64, base: u64, sequence: u64) -> UpdateOutcome {
     let mut registry = Registry::default();
-    for (sequence, model) in whole {
+    for (sequence, model) in full {
         let mut state = state(0, &[(*model).to_owned()]);
         state.sequence = *sequence;
         registry.announce(Time::ZERO, state);
@@ -77,37 +77,41 @@
         running: 5,
         active: Vec::new(),
     };
-    let applied = registry.renew(Time::ZERO, &renewal);
+    let outcome = registry.renew(Time::ZERO, &renewal);
     let running = registry.iter().next().map_or(0, |s| s.running);
-    assert_eq!(running == 5, applied == Applied::Load);
-    applied
+    assert_eq!(running == 5, outcome == UpdateOutcome::LoadOnly);
+    outcome
 }
 
 macro_rules! cases {
-    ($($name:ident: $whole:expr, $epoch:expr, $base:expr, $sequence:expr => $applied:expr;)*) => {$(
+    ($($name:ident: $full:expr, $epoch:expr, $base:expr, $sequence:expr => $outcome:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(renew(&$whole, $epoch, $base, $sequence), $applied);
+            assert_eq!(renew(&$full, $epoch, $base, $sequence), $outcome);
         }
     )*};
 }
 
 cases! {
-    a_renewal_brings_the_load: [(3, "a")], 0, 3, 4 => Applied::Load;
-    one_after_an_unchanged_announcement_does_too: [(3, "a"), (5, "a")], 0, 5, 6 => Applied::Load;
-    one_of_an_unknown_upstream_is_not_enough: [], 0, 3, 4 => Applied::Unknown;
-    one_of_another_start_is_not_enough: [(3, "a")], 1, 3, 4 => Applied::Unknown;
-    one_whose_announcement_was_missed_is_not_enough: [(3, "a")], 0, 5, 6 => Applied::Unknown;
-    a_late_one_changes_nothing: [(3, "a"), (5, "b")], 0, 3, 4 => Applied::Stale;
-    one_that_was_overtaken_changes_nothing: [(3, "a"), (5, "b")], 0, 3, 6 => Applied::Stale;
+    a_renewal_updates_the_load: [(3, "a")], 0, 3, 4 => UpdateOutcome::LoadOnly;
+    a_renewal_after_an_unchanged_announcement_updates_the_load:
+        [(3, "a"), (5, "a")], 0, 5, 6 => UpdateOutcome::LoadOnly;
+    a_renewal_of_an_unknown_upstream_is_insufficient: [], 0, 3, 4 => UpdateOutcome::Unknown;
+    a_renewal_of_another_epoch_is_insufficient: [(3, "a")], 1, 3, 4 => UpdateOutcome::Unknown;
+    a_renewal_after_a_missed_announcement_is_insufficient:
+        [(3, "a")], 0, 5, 6 => UpdateOutcome::Unknown;
+    a_late_renewal_is_stale: [(3, "a"), (5, "b")], 0, 3, 4 => UpdateOutcome::Stale;
+    a_renewal_based_on_a_replaced_version_is_stale:
+        [(3, "a"), (5, "b")], 0, 3, 6 => UpdateOutcome::Stale;
 }
 
 #[test]
-fn news_names_what_changed_and_what_is_gone_but_no_loads() {
+fn taken_changes_list_changed_and_removed_upstreams_but_not_loads() {
     let mut registry = Registry::default();
     let names = |registry: &mut Registry| {
-        let news = registry.take_news().into_iter();
-        news.map(|(name, known)| (name.to_string(), known.is_some()))
+        let changes = registry.take_changes().into_iter();
+        changes
+            .map(|(name, known)| (name.to_string(), known.is_some()))
             .collect::<Vec<_>>()
     };
     let own = ("runner-0".to_owned(), true);
@@ -118,10 +122,10 @@
     registry.announce(Time::ZERO, same);
     assert_eq!(names(&mut registry), []);
     let mut publisher = Publisher::new(Name::from("north"));
-    let far = [state(1, &[])];
-    registry.absorb(
+    let remote = [state(1, &[])];
+    registry.apply_summary(
         Time::ZERO,
-        &publisher.publish(Rank { term: 1, start: 1 }, far.iter()),
+        &publisher.publish(Rank { term: 1, start: 1 }, remote.iter()),
     );
     assert_eq!(names(&mut registry), [("runner-1".to_owned(), true)]);
     registry.expire(Time::ZERO + Duration::from_hours(1));
--- a/crates/sequoiawing_fleet/tests/relaying.rs
+++ b/crates/sequoiawing_fleet/tests/relaying.rs
@@ -1,25 +1,27 @@
-//! Relays upstreams between registries over a network that loses, repeats and
-//! reorders, while routers restart, and checks that all converge.
+//! Relays upstreams between registries over a network that loses, duplicates and
+//! reorders messages while routers restart, and checks that all registries
+//! converge.
 
 mod network;
 
-use network::World;
+use network::Simulation;
 
-/// The steps during which the network fails.
-const FAILING: u32 = 400;
+/// The number of steps with a failing network.
+const FAILING_STEPS: u32 = 400;
 
-/// The steps after it was mended.
-const MENDED: u32 = 100;
+/// The number of steps after the network has recovered.
+const RECOVERY_STEPS: u32 = 100;
 
-/// The steps after upstreams stay with their routers. One that moves to a router
-/// whose index the others do not know is a step behind there.
-const SETTLED: u32 = 5;
+/// The number of steps after upstreams have stopped moving between routers. The
+/// state of an upstream that moves to a router whose index the others do not
+/// know lags one step behind.
+const SETTLED_STEPS: u32 = 5;
 
 macro_rules! cases {
     ($($name:ident: $seed:expr,)*) => {$(
         #[test]
         fn $name() {
-            converges($seed);
+            check_convergence($seed);
         }
     )*};
 }
@@ -30,19 +32,19 @@
     routers_converge_over_seeds_from_80: 80..120,
 }
 
-fn converges(seeds: std::ops::Range<u64>) {
+fn check_convergence(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let mut world = World::new(seed);
-        for _ in 0..FAILING {
-            world.step(true, true);
-            world.check(seed);
+        let mut simulation = Simulation::new(seed);
+        for _ in 0..FAILING_STEPS {
+            simulation.step(true, true);
+            simulation.check_known_states(seed);
         }
-        for _ in 0..MENDED {
-            world.step(false, true);
+        for _ in 0..RECOVERY_STEPS {
+            simulation.step(false, true);
         }
-        for _ in 0..SETTLED {
-            world.step(false, false);
+        for _ in 0..SETTLED_STEPS {
+            simulation.step(false, false);
         }
-        world.check_equal(seed);
+        simulation.check_converged(seed);
     }
 }
--- a/crates/sequoiawing_gateway/src/attempt.rs
+++ b/crates/sequoiawing_gateway/src/attempt.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::{Request, Response, Uri, http::response::Parts};
-use sequoiawing_catalog::Repeat;
+use sequoiawing_catalog::RetryPolicy;
 use sequoiawing_http::{Body, ClientBody, ClientError, empty, from_bytes};
 use sequoiawing_policy::serving::AttemptOutcome;
 use sequoiawing_runtime::timeout;
@@ -107,7 +107,7 @@
     let repeat = exchange.route.repeat;
     // The upstream may close a pooled connection while the request is being
     // sent, which leaves unknown whether the request ran.
-    let sent = if repeat == Repeat::Once {
+    let sent = if repeat == RetryPolicy::Once {
         state.client.send_anew(address, request).await
     } else {
         state.client.send(address, request).await
--- a/crates/sequoiawing_gateway/src/exchange.rs
+++ b/crates/sequoiawing_gateway/src/exchange.rs
@@ -1,7 +1,7 @@
 use crate::RequestMeta;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, Uri, body::Incoming, header::HOST};
-use sequoiawing_catalog::{CatalogIndex, CatalogRoute, Client};
+use sequoiawing_catalog::{CatalogCustomer, CatalogIndex, CatalogRoute};
 use sequoiawing_policy::serving::BalancerRequest;
 use sequoiawing_types::{Name, Time};
 use std::{sync::Arc, time::Duration};
@@ -34,7 +34,7 @@
     /// The pool selected at random from the route's targets.
     pub pool: Name,
     /// The authenticated customer; `None` on open routes.
-    pub customer: Option<Arc<Client>>,
+    pub customer: Option<Arc<CatalogCustomer>>,
     /// The units charged to the customer.
     pub units: u64,
 }
--- a/crates/sequoiawing_gateway/src/filters/authenticate.rs
+++ b/crates/sequoiawing_gateway/src/filters/authenticate.rs
@@ -16,7 +16,7 @@
 
     fn authenticate(&self, exchange: &mut GatewayExchange) -> Result<(), Refused> {
         self.state.dialect.strip_headers(&mut exchange.headers);
-        if exchange.route.open || !exchange.index.asks_keys() {
+        if exchange.route.open || !exchange.index.requires_keys() {
             return Ok(());
         }
         let index = exchange.index.clone();
--- a/crates/sequoiawing_gateway/src/filters/forward.rs
+++ b/crates/sequoiawing_gateway/src/filters/forward.rs
@@ -6,7 +6,7 @@
     state::DemandEvent,
 };
 use hyper::Response;
-use sequoiawing_catalog::Repeat;
+use sequoiawing_catalog::RetryPolicy;
 use sequoiawing_http::Body;
 use sequoiawing_policy::serving::BalancerRequest;
 use sequoiawing_router::{Answer, Code, Filter, Next, Refused};
@@ -91,7 +91,7 @@
                     progress.attempts += 1;
                     let is_server_error = parts.status.is_server_error();
                     let is_retryable =
-                        is_server_error && exchange.route.repeat == Repeat::Idempotent;
+                        is_server_error && exchange.route.repeat == RetryPolicy::Idempotent;
                     if is_retryable && self.may_retry(exchange, &progress) {
                         progress.ran = Ran::Yes;
                         continue;
@@ -151,7 +151,7 @@
             AttemptError::MayHaveRun(cause) => {
                 progress.attempts += 1;
                 progress.ran = Ran::Unknown;
-                if exchange.route.repeat.may_repeat() && self.may_retry(exchange, progress) {
+                if exchange.route.repeat.allows_retry() && self.may_retry(exchange, progress) {
                     return Ok(());
                 }
                 let problem = format!("the upstream failed: {cause}");
@@ -175,8 +175,8 @@
 /// if the request can't be retried, so that only its deadline applies.
 fn silence_timeout(exchange: &GatewayExchange, progress: &Progress) -> Option<Duration> {
     let route = &exchange.route;
-    let may_repeat = route.repeat.may_repeat() && progress.attempts + 1 < route.attempts;
-    may_repeat.then(|| (route.aim() * SILENCE_TIMEOUT_AIMS).max(MIN_SILENCE_TIMEOUT))
+    let may_repeat = route.repeat.allows_retry() && progress.attempts + 1 < route.attempts;
+    may_repeat.then(|| (route.target_latency() * SILENCE_TIMEOUT_AIMS).max(MIN_SILENCE_TIMEOUT))
 }
 
 /// Returns the refusal of a request whose earlier attempts may have run.
--- a/crates/sequoiawing_gateway/src/filters/route.rs
+++ b/crates/sequoiawing_gateway/src/filters/route.rs
@@ -19,9 +19,9 @@
         let Some(route) = index.route(exchange.host(), exchange.uri.path()) else {
             return Err(Refused::new(Code::NotFound, "no route matches"));
         };
-        let limit = exchange.meta.deadline.unwrap_or(route.limit());
-        exchange.deadline = exchange.arrival + limit.min(route.limit());
-        let pool: Option<&Name> = route.pool_for(rand::random());
+        let limit = exchange.meta.deadline.unwrap_or(route.timeout());
+        exchange.deadline = exchange.arrival + limit.min(route.timeout());
+        let pool: Option<&Name> = route.choose_pool(rand::random());
         exchange.pool = pool.cloned().unwrap_or_default();
         exchange.route = route.clone();
         if exchange.remaining(self.state.now()).is_zero() {
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -9,7 +9,7 @@
 use futures::stream::unfold;
 use http_body_util::BodyExt;
 use hyper::{Response, http::response::Parts};
-use sequoiawing_catalog::Repeat;
+use sequoiawing_catalog::RetryPolicy;
 use sequoiawing_http::{Body, BodyError, ClientBody, Events, from_stream, remove_hop_headers};
 use sequoiawing_policy::serving::{AttemptOutcome, BalancerRequest};
 use sequoiawing_runtime::timeout;
@@ -114,10 +114,14 @@
     /// be resumed elsewhere.
     fn silence_timeout(&self) -> Option<Duration> {
         let route = &self.exchange.route;
-        let can_switch = route.repeat == Repeat::Resumable && self.attempts < route.attempts;
+        let can_switch = route.repeat == RetryPolicy::Resumable && self.attempts < route.attempts;
         let gap = Duration::from_millis(route.gap) * SILENCE_GAPS;
         let is_first = self.events.count() == 0;
-        let limit = if is_first { gap.max(route.aim()) } else { gap };
+        let limit = if is_first {
+            gap.max(route.target_latency())
+        } else {
+            gap
+        };
         (can_switch && !self.has_no_alternative).then(|| limit.max(MIN_SILENCE_TIMEOUT))
     }
 
@@ -185,7 +189,7 @@
     async fn fail_over(&mut self, cause: &str) -> bool {
         self.drop_source(AttemptOutcome::Aborted, cause);
         let route = &self.exchange.route;
-        if route.repeat != Repeat::Resumable {
+        if route.repeat != RetryPolicy::Resumable {
             return false;
         }
         while self.attempts < self.exchange.route.attempts
--- a/crates/sequoiawing_gateway/src/slots.rs
+++ b/crates/sequoiawing_gateway/src/slots.rs
@@ -152,7 +152,7 @@
 
     /// Returns the time until which the request waits for capacity.
     fn capacity_deadline(&self) -> Time {
-        self.started + self.exchange.route.aim() / CAPACITY_WAIT_DIVISOR
+        self.started + self.exchange.route.target_latency() / CAPACITY_WAIT_DIVISOR
     }
 
     /// Returns the time until which a request waits for a model that no upstream
@@ -178,7 +178,7 @@
             return (until, refuse(MODEL_MISSING_RETRY));
         };
         let wait = ready + LOAD_SLACK;
-        let longest = MAX_LOAD_WAIT.max(self.exchange.route.aim());
+        let longest = MAX_LOAD_WAIT.max(self.exchange.route.target_latency());
         let bound = (remaining / LOAD_WAIT_DIVISOR).min(longest);
         if now + wait <= self.started + bound {
             return (now + wait, refuse(LOAD_SLACK));
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -2,8 +2,8 @@
 use arc_swap::ArcSwap;
 use event_listener::Event;
 use parking_lot::Mutex;
-use sequoiawing_catalog::{Catalog, CatalogIndex, Client};
-use sequoiawing_fleet::{Cursor, Interest, Listed, Roster};
+use sequoiawing_catalog::{Catalog, CatalogCustomer, CatalogIndex};
+use sequoiawing_fleet::{Cursor, Interest, Roster, RosterEntry};
 use sequoiawing_http::Client as HttpClient;
 use sequoiawing_link::{DemandBatch, HubNews, ModelDemand, OrderedLoads, PlannedLoad};
 use sequoiawing_policy::serving::{
@@ -201,7 +201,11 @@
     ///
     /// Returns the retry delay and the state of the other hosts when the
     /// customer's rate is exceeded.
-    pub(crate) fn charge(&self, customer: &Client, units: u64) -> Result<(), (Duration, PeerView)> {
+    pub(crate) fn charge(
+        &self,
+        customer: &CatalogCustomer,
+        units: u64,
+    ) -> Result<(), (Duration, PeerView)> {
         if !customer.is_limited() {
             return Ok(());
         }
@@ -226,7 +230,7 @@
     }
 
     /// Refunds the units of a request that did not run.
-    pub(crate) fn refund(&self, customer: &Client, units: u64) {
+    pub(crate) fn refund(&self, customer: &CatalogCustomer, units: u64) {
         if let Some(rate) = self.rates.lock().get_mut(&customer.name) {
             rate.refund(units);
         }
@@ -522,17 +526,19 @@
         }
     }
 
-    fn apply_roster(&self, now: Time, listed: &[Listed]) {
+    fn apply_roster(&self, now: Time, listed: &[RosterEntry]) {
         if listed.is_empty() {
             return;
         }
         let mut roster = self.roster.lock();
-        let cursor = roster.since(Cursor::default(), Interest::Changes).cursor;
+        let cursor = roster
+            .updates_since(Cursor::default(), Interest::Changes)
+            .cursor;
         for item in listed {
-            roster.take(now, item.clone());
+            roster.apply(now, item.clone());
         }
         // The roster ignores outdated entries.
-        let changes = roster.since(cursor, Interest::Changes);
+        let changes = roster.updates_since(cursor, Interest::Changes);
         drop(roster);
         let mut balancer = self.balancer.lock();
         for item in &changes.listed {
@@ -554,7 +560,7 @@
     /// Returns the state as JSON, without secrets.
     pub fn dump(&self) -> serde_json::Value {
         let roster = self.roster.lock();
-        let upstreams: Vec<_> = roster.present().map(|s| s.as_ref().clone()).collect();
+        let upstreams: Vec<_> = roster.live().map(|s| s.as_ref().clone()).collect();
         let cluster = self.cluster.lock();
         serde_json::json!({
             "version": self.index.load().version(),
--- a/crates/sequoiawing_hub/src/hub.rs
+++ b/crates/sequoiawing_hub/src/hub.rs
@@ -196,7 +196,7 @@
         let settled = !usage.is_rebuilt() || now >= Time::ZERO + USAGE_SETTLE_TIME;
         drop(usage);
         let roster = self.roster.lock();
-        let news = roster.since(report.cursor, Interest::Changes);
+        let news = roster.updates_since(report.cursor, Interest::Changes);
         let silent = roster.silent(now, self.settings.silence_timeout);
         drop(roster);
         let catalog = self.handle.tables().catalog.clone();
@@ -223,7 +223,7 @@
         let now = self.now();
         let seen = self.changes.get();
         let roster = self.roster.lock();
-        let roster = roster.since(request.cursor, Interest::Announcements);
+        let roster = roster.updates_since(request.cursor, Interest::Announcements);
         let (stamp, uses) = self.usage.lock().changes_since(now, request.stamp);
         let leads = self.handle.leadership().is_some();
         MirrorNews {
@@ -296,7 +296,7 @@
 
     pub(crate) fn dump(&self) -> serde_json::Value {
         let roster = self.roster.lock();
-        let upstreams: Vec<&UpstreamState> = roster.present().map(Arc::as_ref).collect();
+        let upstreams: Vec<&UpstreamState> = roster.live().map(Arc::as_ref).collect();
         serde_json::json!({
             "upstreams": upstreams,
             "usage": *self.usage.lock(),
--- a/crates/sequoiawing_hub/src/mirror.rs
+++ b/crates/sequoiawing_hub/src/mirror.rs
@@ -91,7 +91,7 @@
     let mut changed = false;
     let mut roster = state.roster.lock();
     for listed in update.roster.listed {
-        changed |= roster.take(now, listed);
+        changed |= roster.apply(now, listed);
     }
     drop(roster);
     let mut aggregator = state.usage.lock();
--- a/crates/sequoiawing_link/src/hub.rs
+++ b/crates/sequoiawing_link/src/hub.rs
@@ -1,6 +1,6 @@
 use crate::ControlError;
 use sequoiawing_catalog::{Catalog, Document};
-use sequoiawing_fleet::{Cursor, RosterNews};
+use sequoiawing_fleet::{Cursor, RosterUpdate};
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 use std::{net::IpAddr, sync::Arc};
@@ -152,7 +152,7 @@
     /// The configuration, if it is newer than the gateway's.
     pub catalog: Option<Arc<Catalog>>,
     /// What is new in the roster.
-    pub roster: RosterNews,
+    pub roster: RosterUpdate,
     /// The upstreams that have been silent for long.
     pub silent: Vec<Name>,
     /// The units that each customer used at all gateways.
@@ -189,7 +189,7 @@
 #[serde(default)]
 pub struct MirrorNews {
     /// What is new in the roster.
-    pub roster: RosterNews,
+    pub roster: RosterUpdate,
     /// What gateways told the hub itself.
     pub uses: Vec<GatewayUse>,
     /// How far that goes.
--- a/crates/sequoiawing_link/src/peer.rs
+++ b/crates/sequoiawing_link/src/peer.rs
@@ -1,6 +1,8 @@
 use crate::{BudgetBatch, BudgetReplies, Explanation, Follow, Published, Question};
 use sequoiawing_cell::{CellReply, CellRequest};
-use sequoiawing_fleet::{Demand, LoadDelta, OrderState, Relayed, Source, Summary, UpstreamState};
+use sequoiawing_fleet::{
+    Demand, DemandStatus, LoadDelta, RelayedState, Source, Summary, UpstreamState,
+};
 use sequoiawing_tables::{KeyId, Revision};
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
@@ -13,7 +15,7 @@
     pub source: Source,
     /// The upstreams that announced themselves to the sender, of which
     /// something changed.
-    pub states: Vec<Relayed>,
+    pub states: Vec<RelayedState>,
     /// The loads of the others.
     pub loads: Vec<LoadDelta>,
     /// What other data centres tell the receiver's.
@@ -76,7 +78,7 @@
     /// be sent whole.
     async fn exchange(batch: UpstreamBatch) -> Missing;
     /// Asks the cell leader for a model.
-    async fn demand(demands: Vec<Demand>) -> Vec<OrderState>;
+    async fn demand(demands: Vec<Demand>) -> Vec<DemandStatus>;
     /// Answers another member of the data centre's cell.
     async fn cell(request: CellRequest) -> Option<CellReply>;
     /// Returns the tables when they are newer than the asker's; routers relay
--- a/crates/sequoiawing_link/tests/codec.rs
+++ b/crates/sequoiawing_link/tests/codec.rs
@@ -1,6 +1,6 @@
 //! Writes and reads messages in both forms.
 
-use sequoiawing_fleet::{LoadDelta, Publisher, Rank, Relayed, Source, UpstreamState};
+use sequoiawing_fleet::{LoadDelta, Publisher, Rank, RelayedState, Source, UpstreamState};
 use sequoiawing_link::{BudgetReplies, ControlError, Follow, Format, Published, UpstreamBatch};
 use sequoiawing_tables::{Change, Command, Customer, Key, KeyId, Outcome, Revision, Tables};
 use sequoiawing_types::{Findings, Name, Ran, RequestId};
@@ -34,7 +34,7 @@
             start,
         },
         summaries: vec![summary.confirmation(), summary],
-        states: vec![Relayed { index: 7, state }],
+        states: vec![RelayedState { index: 7, state }],
         loads: vec![LoadDelta {
             index: 7,
             sequence: 9,
--- a/crates/sequoiawing_policy/src/dispatch/demands.rs
+++ b/crates/sequoiawing_policy/src/dispatch/demands.rs
@@ -1,4 +1,4 @@
-use sequoiawing_fleet::OrderState;
+use sequoiawing_fleet::DemandStatus;
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -59,7 +59,7 @@
         &mut self,
         now: Time,
         target: Name,
-        state: &OrderState,
+        state: &DemandStatus,
         centres: usize,
     ) {
         let demand = self.targets.entry(target).or_default();
--- a/crates/sequoiawing_policy/src/dispatch/dispatcher.rs
+++ b/crates/sequoiawing_policy/src/dispatch/dispatcher.rs
@@ -7,7 +7,7 @@
         upstreams::{UpstreamKey, Upstreams},
     },
 };
-use sequoiawing_fleet::{Demand, OrderState, UpstreamKind};
+use sequoiawing_fleet::{Demand, DemandStatus, UpstreamKind};
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
@@ -217,7 +217,7 @@
         &mut self,
         now: Time,
         target: &Name,
-        state: &OrderState,
+        state: &DemandStatus,
         out: &mut Vec<DispatchAction>,
     ) {
         let centres = self.upstreams.centres();
--- a/crates/sequoiawing_policy/src/dispatch/event.rs
+++ b/crates/sequoiawing_policy/src/dispatch/event.rs
@@ -1,5 +1,5 @@
 use crate::{DispatchRequest, Refusal};
-use sequoiawing_fleet::{Demand, OrderState, UpstreamState};
+use sequoiawing_fleet::{Demand, DemandStatus, UpstreamState};
 use sequoiawing_types::Name;
 use std::{sync::Arc, time::Duration};
 
@@ -32,7 +32,7 @@
         /// The requested adapter or model.
         model: Name,
         /// The state of the decision.
-        state: OrderState,
+        state: DemandStatus,
     },
     /// Advances the time.
     Tick,
--- a/crates/sequoiawing_policy/src/place/estimate.rs
+++ b/crates/sequoiawing_policy/src/place/estimate.rs
@@ -4,7 +4,7 @@
     CheckpointLocation, Placer,
     place::{allotments::Target, pending_orders::PendingOrder, runner::Runner},
 };
-use sequoiawing_fleet::OrderState;
+use sequoiawing_fleet::DemandStatus;
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     }
 
     /// Returns the state of the model's order.
-    pub(crate) fn order_state(&self, now: Time, target: &Target, memory: u64) -> OrderState {
+    pub(crate) fn order_state(&self, now: Time, target: &Target, memory: u64) -> DemandStatus {
         let loads = self.orders.iter();
         let loads = loads.filter(|o| o.is_load() && o.target == *target && !o.is_late);
         let is_usable = |name: &Name| self.runners.get(name).is_some_and(Runner::is_usable);
@@ -49,7 +49,7 @@
         let is_unknown = running.is_none() && loading > 0 || !self.is_estimable(target, memory);
         let is_served = is_loaded || serving > 0 || is_unknown;
         let left = if is_served { Duration::ZERO } else { left };
-        OrderState {
+        DemandStatus {
             decided: is_loaded || running.is_some() || serving + loading > 0,
             estimate: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
             problem: None,
--- a/crates/sequoiawing_policy/src/place/placer.rs
+++ b/crates/sequoiawing_policy/src/place/placer.rs
@@ -13,7 +13,7 @@
         shares::Shares,
     },
 };
-use sequoiawing_fleet::{Demand, OrderState, UpstreamState};
+use sequoiawing_fleet::{Demand, DemandStatus, UpstreamState};
 use sequoiawing_tables::{Model, Pool};
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -147,9 +147,14 @@
     }
 
     /// Applies a router's demand and returns the state of its order.
-    pub fn demand(&mut self, now: Time, demand: &Demand, out: &mut Vec<PlaceAction>) -> OrderState {
+    pub fn demand(
+        &mut self,
+        now: Time,
+        demand: &Demand,
+        out: &mut Vec<PlaceAction>,
+    ) -> DemandStatus {
         if self.leadership.is_none() {
-            return OrderState::default();
+            return DemandStatus::default();
         }
         let target = (demand.pool.clone(), demand.model.clone());
         let Some(model) = self.model(&target) else {
@@ -290,9 +295,9 @@
 
     /// Returns the problem that no upstream can hold a model, once enough time
     /// has passed to be certain.
-    fn unplaceable(&self, now: Time) -> OrderState {
+    fn unplaceable(&self, now: Time) -> DemandStatus {
         if now.since(self.led_since) < DISCOVERY_TIME {
-            return OrderState::default();
+            return DemandStatus::default();
         }
         problem("no upstream of the pool can hold the model")
     }
@@ -326,9 +331,9 @@
     }
 }
 
-fn problem(text: &str) -> OrderState {
-    OrderState {
+fn problem(text: &str) -> DemandStatus {
+    DemandStatus {
         problem: Some(text.to_owned()),
-        ..OrderState::default()
+        ..DemandStatus::default()
     }
 }
--- a/crates/sequoiawing_policy/src/serving/balancer.rs
+++ b/crates/sequoiawing_policy/src/serving/balancer.rs
@@ -1,5 +1,5 @@
 use super::{PromptPart, ReportedLoad, upstream::Upstream};
-use sequoiawing_fleet::{Listed, UpstreamState};
+use sequoiawing_fleet::{RosterEntry, UpstreamState};
 use sequoiawing_types::{Name, Time};
 use slotmap::{SlotMap, new_key_type};
 use std::{
@@ -117,7 +117,7 @@
     }
 
     /// Applies an entry of a roster.
-    pub fn update(&mut self, listed: &Listed) {
+    pub fn update(&mut self, listed: &RosterEntry) {
         let state = &listed.state;
         let known = self.names.get(&state.name).copied();
         if listed.gone {
--- a/crates/sequoiawing_policy/src/serving/loader/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/mod.rs
@@ -383,7 +383,7 @@
         let pause = pool
             .engine
             .as_ref()
-            .map(sequoiawing_catalog::Engine::load_pause);
+            .map(sequoiawing_catalog::Engine::load_interval);
         let pause = pause.unwrap_or_default();
         let is_pause_over = self.last_store_load.is_none_or(|at| now >= at + pause);
         is_pause_over && self.store_loads() < self.settings.store_loads
--- a/crates/sequoiawing_policy/tests/balancer.rs
+++ b/crates/sequoiawing_policy/tests/balancer.rs
@@ -1,6 +1,6 @@
 //! Tests which upstream a gateway chooses.
 
-use sequoiawing_fleet::{Listed, UpstreamState};
+use sequoiawing_fleet::{RosterEntry, UpstreamState};
 use sequoiawing_policy::serving::{
     Assignment, AttemptOutcome, Balancer, BalancerRequest, PickResult, PromptPart, ReportedLoad,
 };
@@ -22,9 +22,9 @@
     }
 }
 
-fn listed(state: UpstreamState, gone: bool) -> Listed {
+fn listed(state: UpstreamState, gone: bool) -> RosterEntry {
     let state = Arc::new(state);
-    Listed { state, gone }
+    RosterEntry { state, gone }
 }
 
 fn balancer(upstreams: Vec<UpstreamState>) -> Balancer {
--- a/crates/sequoiawing_policy/tests/demands.rs
+++ b/crates/sequoiawing_policy/tests/demands.rs
@@ -1,6 +1,6 @@
 //! Tests which cell leaders a dispatcher sends its demands to.
 
-use sequoiawing_fleet::{OrderState, UpstreamState};
+use sequoiawing_fleet::{DemandStatus, UpstreamState};
 use sequoiawing_policy::{
     DispatchAction, DispatchEvent, DispatchRequest, DispatchSettings, Dispatcher,
 };
@@ -34,9 +34,9 @@
                 continue;
             };
             asked.push(demand.centre);
-            let state = OrderState {
+            let state = DemandStatus {
                 decided,
-                ..OrderState::default()
+                ..DemandStatus::default()
             };
             let model = Name::from("strip:ink");
             let answer = DispatchEvent::DemandAnswered { model, state };
--- a/crates/sequoiawing_router/src/controllers/placement.rs
+++ b/crates/sequoiawing_router/src/controllers/placement.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt;
 use hyper::{Method, Request, header};
 use sequoiawing_cell::{CellEvent, ShareCount, Version};
-use sequoiawing_fleet::{Demand, Order, OrderReply, OrderState, UpstreamState};
+use sequoiawing_fleet::{Demand, DemandStatus, Order, OrderReply, UpstreamState};
 use sequoiawing_http::from_bytes;
 use sequoiawing_policy::{
     DispatchEvent, Leadership, PlaceAction, PlaceEvent, PlaceSettings, Placer,
@@ -38,7 +38,7 @@
 /// Where demands from other routers of the data centre reach the leader.
 #[derive(Clone)]
 pub(crate) struct LeaderDemands {
-    sender: Sender<(Demand, Sender<OrderState>)>,
+    sender: Sender<(Demand, Sender<DemandStatus>)>,
 }
 
 impl LeaderDemands {
@@ -46,7 +46,7 @@
     ///
     /// One from another data centre names this one and is handed on to the
     /// leader; one from this data centre is for this host.
-    pub(crate) async fn answer(&self, state: &RouterState, mut demand: Demand) -> OrderState {
+    pub(crate) async fn answer(&self, state: &RouterState, mut demand: Demand) -> DemandStatus {
         if demand.centre != state.settings.centre {
             return self.ask(demand).await;
         }
@@ -55,10 +55,10 @@
     }
 
     /// Asks the leader's placer, if this host leads.
-    pub(crate) async fn ask(&self, demand: Demand) -> OrderState {
+    pub(crate) async fn ask(&self, demand: Demand) -> DemandStatus {
         let (reply, answer) = async_channel::bounded(1);
         if self.sender.send((demand, reply)).await.is_err() {
-            return OrderState::default();
+            return DemandStatus::default();
         }
         answer.recv().await.unwrap_or_default()
     }
@@ -98,8 +98,8 @@
         let tables = self.state.tables.get();
         let (here, news) = {
             let mut registry = self.state.registry.lock();
-            let here: Vec<Arc<UpstreamState>> = registry.here().cloned().collect();
-            (here, registry.take_news())
+            let here: Vec<Arc<UpstreamState>> = registry.local().cloned().collect();
+            (here, registry.take_changes())
         };
         if !Arc::ptr_eq(&tables, &self.configured) {
             let pools = tables.pools.values().cloned().collect();
@@ -170,11 +170,11 @@
         self.act(out);
     }
 
-    fn demand(&mut self, demand: &Demand) -> OrderState {
+    fn demand(&mut self, demand: &Demand) -> DemandStatus {
         if demand.recall {
             let (pool, model) = (demand.pool.clone(), demand.model.clone());
             self.handle(PlaceEvent::Recalled { pool, model });
-            return OrderState::default();
+            return DemandStatus::default();
         }
         let mut out = Vec::new();
         let state = self.placer.demand(self.state.now(), demand, &mut out);
@@ -333,7 +333,7 @@
     state: &RouterState,
     leader: &LeaderDemands,
     demand: Demand,
-) -> Option<OrderState> {
+) -> Option<DemandStatus> {
     let own = &state.settings.centre;
     if !demand.centre.as_str().is_empty() && demand.centre != *own {
         return ask_elsewhere(state, demand).await;
@@ -350,7 +350,7 @@
 }
 
 /// Asks a router of another data centre, which knows its leader.
-async fn ask_elsewhere(state: &RouterState, demand: Demand) -> Option<OrderState> {
+async fn ask_elsewhere(state: &RouterState, demand: Demand) -> Option<DemandStatus> {
     let peers = state.peers.all();
     let there: Vec<_> = peers.iter().filter(|p| p.centre == demand.centre).collect();
     let turn = usize::try_from(state.next_request()).unwrap_or(0);
@@ -364,7 +364,7 @@
 impl PlaceModels {
     async fn work(
         state: Arc<RouterState>,
-        demands: Receiver<(Demand, Sender<OrderState>)>,
+        demands: Receiver<(Demand, Sender<DemandStatus>)>,
         leader: LeaderDemands,
     ) {
         let (events, incoming) = async_channel::unbounded();
--- a/crates/sequoiawing_router/src/controllers/relay.rs
+++ b/crates/sequoiawing_router/src/controllers/relay.rs
@@ -1,5 +1,5 @@
 use crate::{Controller, RouterState, controllers::summarise::Speaker, peers::PeerLink};
-use sequoiawing_fleet::{LoadDelta, Relayed, Summary};
+use sequoiawing_fleet::{LoadDelta, RelayedState, Summary};
 use sequoiawing_link::{Missing, UpstreamBatch};
 use sequoiawing_runtime::{Shutdown, sleep, spawn};
 use sequoiawing_types::{Name, Time};
@@ -123,10 +123,12 @@
         let loads: Vec<LoadDelta> = own
             .filter_map(|(name, heard)| {
                 let active = std::mem::take(&mut heard.active);
-                registry.delta(name, &active)
+                registry.load_delta(name, &active)
             })
             .collect();
-        let states = changed.iter().filter_map(|name| registry.relayed(name));
+        let states = changed
+            .iter()
+            .filter_map(|name| registry.relayed_state(name));
         UpstreamBatch {
             source: self.state.source(),
             states: states.map(extended).collect(),
@@ -170,7 +172,7 @@
 
 /// Has a relayed announcement hold at least until the next relayed loads can
 /// have come, also when one batch is lost.
-fn extended(mut relayed: Relayed) -> Relayed {
+fn extended(mut relayed: RelayedState) -> RelayedState {
     relayed.state.lifetime = relayed.state.lifetime.max(LOCAL_LIFETIME);
     relayed
 }
@@ -193,13 +195,13 @@
     fn whole(&self, missing: &Missing, spread: bool) -> UpstreamBatch {
         let registry = self.registry.lock();
         let states = missing.indexes.iter();
-        let states = states.filter_map(|index| registry.indexed(*index));
+        let states = states.filter_map(|index| registry.relayed_by_index(*index));
         let summaries = missing.centres.iter();
         let summaries = summaries.filter_map(|centre| {
             if *centre == self.settings.centre {
-                return Some(self.publisher.lock().whole());
+                return Some(self.publisher.lock().full_summary());
             }
-            registry.whole(centre)
+            registry.summary(centre)
         });
         UpstreamBatch {
             source: self.source(),
--- a/crates/sequoiawing_router/src/controllers/summarise.rs
+++ b/crates/sequoiawing_router/src/controllers/summarise.rs
@@ -61,12 +61,12 @@
     /// Returns what there is to tell, if anything.
     fn summary(&mut self, now: Time, rank: Rank) -> Option<Summary> {
         let registry = self.state.registry.lock();
-        let is_changed = registry.changes() != self.changes || self.rank != Some(rank);
+        let is_changed = registry.change_count() != self.changes || self.rank != Some(rank);
         if !is_changed && now < self.next {
             return None;
         }
-        self.changes = registry.changes();
-        let states = registry.here().map(Arc::as_ref);
+        self.changes = registry.change_count();
+        let states = registry.local().map(Arc::as_ref);
         let summary = self.state.publisher.lock().publish(rank, states);
         if summary.base == Some(summary.serial) && now < self.next {
             return None;
--- a/crates/sequoiawing_router/src/controllers/take_in.rs
+++ b/crates/sequoiawing_router/src/controllers/take_in.rs
@@ -1,7 +1,7 @@
 //! What a router learns of upstreams, from themselves and from other routers.
 
 use crate::RouterState;
-use sequoiawing_fleet::{Applied, Renewal, Source, Summary, UpstreamState};
+use sequoiawing_fleet::{Renewal, Source, Summary, UpdateOutcome, UpstreamState};
 use sequoiawing_link::{Missing, UpstreamBatch};
 use sequoiawing_types::{Name, Time};
 
@@ -21,10 +21,10 @@
         let name = state.name.clone();
         let active = state.active.clone();
         let applied = self.registry.lock().announce(now, state);
-        if matches!(applied, Applied::Stale | Applied::Unknown) {
+        if matches!(applied, UpdateOutcome::Stale | UpdateOutcome::Unknown) {
             return;
         }
-        let is_changed = applied == Applied::Changed;
+        let is_changed = applied == UpdateOutcome::Changed;
         let mut outbox = self.outbox.lock();
         outbox.hear(now, name.clone(), active, is_changed);
         drop(outbox);
@@ -46,13 +46,13 @@
             }
             registry.renew(now, renewal)
         };
-        if applied == Applied::Load {
+        if applied == UpdateOutcome::LoadOnly {
             let mut outbox = self.outbox.lock();
             outbox.hear(now, name.clone(), renewal.active.clone(), false);
             drop(outbox);
             self.tell_shard(name);
         }
-        applied != Applied::Unknown
+        applied != UpdateOutcome::Unknown
     }
 
     /// Takes in a batch of another router and returns what must be known whole.
@@ -67,12 +67,12 @@
             let mut registry = self.registry.lock();
             for relayed in batch.states {
                 let name = relayed.state.name.clone();
-                if registry.adopt(now, &batch.source, relayed) == Applied::Changed {
+                if registry.apply_relayed(now, &batch.source, relayed) == UpdateOutcome::Changed {
                     fresh.push(name);
                 }
             }
             for load in &batch.loads {
-                match registry.update(now, &batch.source, load) {
+                match registry.apply_delta(now, &batch.source, load) {
                     Some(name) => fresh.push(name),
                     None => missing.indexes.push(load.index),
                 }
@@ -94,17 +94,17 @@
         if summary.centre == self.settings.centre {
             return true;
         }
-        let absorbed = self.registry.lock().absorb(now, summary);
-        for name in absorbed.gone {
+        let absorbed = self.registry.lock().apply_summary(now, summary);
+        for name in absorbed.removed {
             self.forget(&name);
         }
         for name in absorbed.changed {
             self.tell_shard(&name);
         }
-        if let Some(summary) = absorbed.pass.filter(|_| spread) {
+        if let Some(summary) = absorbed.forward.filter(|_| spread) {
             self.outbox.lock().pass(summary);
         }
-        absorbed.applied != Applied::Unknown
+        absorbed.outcome != UpdateOutcome::Unknown
     }
 
     /// Has the dispatchers forget an upstream that is gone.
--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming, header::AUTHORIZATION};
 use sequoiawing_cell::{CellReply, CellRequest};
-use sequoiawing_fleet::{Demand, OrderState, UpstreamState};
+use sequoiawing_fleet::{Demand, DemandStatus, UpstreamState};
 use sequoiawing_http::{Body, Handler, HttpListener, HttpSettings, from_bytes};
 use sequoiawing_link::{
     BudgetBatch, BudgetReplies, Context, Explanation, Follow, LinkListener, Missing, Peer,
@@ -345,13 +345,13 @@
         self.state.recalled(&borrower, wait).await
     }
 
-    async fn demand(self, _: Context, demands: Vec<Demand>) -> Vec<OrderState> {
+    async fn demand(self, _: Context, demands: Vec<Demand>) -> Vec<DemandStatus> {
         let leader = self.state.placement.lock().clone();
         let mut states = Vec::new();
         for demand in demands {
             let state = match &leader {
                 Some(leader) => leader.answer(&self.state, demand).await,
-                None => OrderState::default(),
+                None => DemandStatus::default(),
             };
             states.push(state);
         }
--- a/crates/sequoiawing_standin/src/announcer.rs
+++ b/crates/sequoiawing_standin/src/announcer.rs
@@ -136,7 +136,7 @@
     /// Returns what renews the announcement, unless a whole one is due or more
     /// than the load has changed.
     fn renewal(&self, state: &UpstreamState) -> Option<Renewal> {
-        let due = self.at.elapsed() >= Renewal::WHOLE_INTERVAL;
+        let due = self.at.elapsed() >= Renewal::FULL_INTERVAL;
         let fits = !due && self.state.differs_in_load_only(state);
         fits.then(|| Renewal::of(state, self.state.sequence))
     }
--- a/tools/capacity/src/machines.rs
+++ b/tools/capacity/src/machines.rs
@@ -35,7 +35,7 @@
         let summary = samples::whole_summary(start..end, holding);
         let bytes = Format::Binary.encode(&summary).unwrap_or_default();
         let summary: Summary = Format::Binary.decode(&bytes).unwrap_or_default();
-        registry.absorb(Time::ZERO, &summary);
+        registry.apply_summary(Time::ZERO, &summary);
     }
     registry
 }
--- a/tools/capacity/src/samples/relay.rs
+++ b/tools/capacity/src/samples/relay.rs
@@ -2,7 +2,7 @@
 
 use super::{Holding, RUNNERS, announcement, centre, name};
 use sequoiawing_fleet::{
-    LoadDelta, Place, Publisher, Rank, Relayed, Renewal, Source, Summary, SummaryChange,
+    LoadDelta, Publisher, Rank, RelayedState, Renewal, Source, StateList, Summary, SummaryChange,
     UpstreamState,
 };
 use sequoiawing_link::UpstreamBatch;
@@ -33,9 +33,9 @@
 }
 
 /// Builds an announcement as routers relay it.
-pub(crate) fn relayed(holding: Holding) -> Relayed {
+pub(crate) fn relayed(holding: Holding) -> RelayedState {
     let (index, state) = (1_234, announcement(1_234, 123_456, holding));
-    Relayed { index, state }
+    RelayedState { index, state }
 }
 
 /// Builds an empty batch between routers.
@@ -62,7 +62,7 @@
 pub(crate) fn moved_summary() -> Summary {
     let adapter = |i| {
         (
-            Place::Adapter,
+            StateList::Adapter,
             Name::from(format!("model-00001:{}", name("adapter", i))),
         )
     };
--- a/tools/capacity/src/size.rs
+++ b/tools/capacity/src/size.rs
@@ -150,7 +150,7 @@
             busiest: 4.0,
             distance: 0.25,
             waking: 3.0,
-            whole: Renewal::WHOLE_INTERVAL.as_secs_f64(),
+            whole: Renewal::FULL_INTERVAL.as_secs_f64(),
             repeat: 1.0,
         }
     }
--- a/tools/capacity/src/times.rs
+++ b/tools/capacity/src/times.rs
@@ -8,7 +8,7 @@
     speed::seconds,
 };
 use sequoiawing_cell::{Cell, CellEvent, CellSettings};
-use sequoiawing_fleet::{LoadDelta, Relayed, Renewal, Summary, UpstreamState};
+use sequoiawing_fleet::{LoadDelta, RelayedState, Renewal, Summary, UpstreamState};
 use sequoiawing_link::Format;
 use sequoiawing_policy::{DispatchEvent, PlaceEvent, Placer};
 use sequoiawing_tables::{Command, Revision, Tables};
@@ -113,12 +113,12 @@
     let bytes = bytes.unwrap_or_default();
     let (index, state) = (1, samples::announcement(1, 1, holding));
     let source = samples::source();
-    registry.adopt(Time::ZERO, &source, Relayed { index, state });
+    registry.apply_relayed(Time::ZERO, &source, RelayedState { index, state });
     seconds(|| {
         sequence += 1;
         let mut load: LoadDelta = Format::Binary.decode(&bytes).unwrap_or_default();
         load.sequence = sequence;
-        let name = registry.update(Time::ZERO, &source, &load);
+        let name = registry.apply_delta(Time::ZERO, &source, &load);
         if let Some(state) = name.and_then(|n| registry.get(&n).cloned()) {
             dispatcher.handle(Time::ZERO, DispatchEvent::Announced(state), &mut out);
         }
@@ -132,7 +132,9 @@
     let mut registry = mirror(all, holding);
     let mut dispatcher = dispatcher(here, holding);
     let mut out = Vec::new();
-    let mut serial = registry.whole(&samples::centre(1)).map_or(0, |s| s.serial);
+    let mut serial = registry
+        .summary(&samples::centre(1))
+        .map_or(0, |s| s.serial);
     let bytes = Format::Binary.encode(&samples::moved_summary());
     let bytes = bytes.unwrap_or_default();
     seconds(|| {
@@ -140,7 +142,7 @@
         summary.base = Some(serial);
         serial += 1;
         summary.serial = serial;
-        let absorbed = registry.absorb(Time::ZERO, &summary);
+        let absorbed = registry.apply_summary(Time::ZERO, &summary);
         for name in absorbed.changed {
             if let Some(state) = registry.get(&name).cloned() {
                 dispatcher.handle(Time::ZERO, DispatchEvent::Announced(state), &mut out);
@@ -184,7 +186,7 @@
     let mut placer = configured(placer(here, holding), tables);
     let mut out = Vec::new();
     seconds(|| {
-        let states: Vec<Arc<UpstreamState>> = registry.here().cloned().collect();
+        let states: Vec<Arc<UpstreamState>> = registry.local().cloned().collect();
         for state in states {
             placer.handle(Time::ZERO, PlaceEvent::Announced(state), &mut out);
         }
