--- a/crates/sequoiawing_catalog/src/catalog.rs
+++ b/crates/sequoiawing_catalog/src/catalog.rs
@@ -3,17 +3,17 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of requests from callers.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct CallerLimits {
-    /// The largest headers, in bytes.
+    /// The maximum size of the headers, in bytes.
     pub header_bytes: usize,
-    /// The largest body, in bytes.
+    /// The maximum size of the body, in bytes.
     pub body_bytes: usize,
-    /// How long headers and body may take to arrive, in milliseconds.
+    /// The timeout for receiving the headers and the body, in milliseconds.
     pub header_wait: u64,
-    /// How long a connection may stay idle, in milliseconds.
+    /// The idle timeout of a connection, in milliseconds.
     pub idle_wait: u64,
 }
 
@@ -28,38 +28,38 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Catalog {
-    /// The operator's number; the highest one is in force.
+    /// The version number set by the operator; the highest version is in force.
     pub version: u64,
-    /// Which requests go where.
+    /// The routes, which map requests to pools.
     pub routes: Vec<CatalogRoute>,
-    /// Where they are served.
+    /// The pools, whose upstreams serve the requests.
     pub pools: Vec<CatalogPool>,
-    /// Who may send them; without any, no key is asked for.
+    /// The customers that may send requests; if empty, no key is required.
     pub customers: Vec<CatalogCustomer>,
-    /// What callers are held to.
+    /// The limits for callers.
     pub bounds: CallerLimits,
 }
 
 impl Catalog {
-    /// Checks the configuration as a whole and returns every finding.
+    /// Validates the whole configuration and returns all findings.
     pub fn check(&self) -> Findings {
         check(self)
     }
 }
 
-/// A configuration and the text in which the operator sent it.
+/// A configuration and the text that the operator submitted.
 ///
-/// The text is kept so that it is read back as it was sent, with fields that
+/// The text is kept so that it can be returned unchanged, including fields that
 /// this release does not know.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Document {
-    /// What the text means.
+    /// The parsed configuration.
     pub catalog: Arc<Catalog>,
-    /// The operator's text.
+    /// The submitted text.
     pub text: Arc<str>,
 }
--- a/crates/sequoiawing_catalog/src/check.rs
+++ b/crates/sequoiawing_catalog/src/check.rs
@@ -2,7 +2,7 @@
 use sequoiawing_types::{Findings, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Checks a catalog as a whole and reports every finding.
+/// Validates a whole catalog and returns all findings.
 pub(crate) fn check(catalog: &Catalog) -> Findings {
     let mut findings = Findings::default();
     let pools: BTreeSet<&Name> = catalog.pools.iter().map(|p| &p.name).collect();
@@ -42,9 +42,9 @@
     let mut holders = BTreeMap::new();
     for customer in &catalog.customers {
         for key in &customer.keys {
-            let former = holders.insert(key, &customer.name);
-            if let Some(other) = former.filter(|other| **other != customer.name) {
-                // The key itself is a secret.
+            let previous = holders.insert(key, &customer.name);
+            if let Some(other) = previous.filter(|other| **other != customer.name) {
+                // The key itself is a secret and must not appear in the finding.
                 let problem = format!("customer \"{other}\" has one of these keys");
                 findings.push(format!("customers.{}.keys", customer.name), problem);
             }
--- a/crates/sequoiawing_catalog/src/customer.rs
+++ b/crates/sequoiawing_catalog/src/customer.rs
@@ -2,14 +2,14 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// In what a customer's rate and burst are counted.
+/// The unit in which a customer's rate and burst are counted.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RateUnit {
-    /// In requests.
+    /// Requests.
     #[default]
     Requests,
-    /// In the tokens that requests declare.
+    /// The tokens that requests declare.
     Tokens,
 }
 
@@ -17,30 +17,29 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct CatalogCustomer {
-    /// The name.
+    /// The customer's name.
     pub name: Name,
-    /// The keys that admit requests; two customers share none.
+    /// The keys that authenticate its requests; no two customers share a key.
     pub keys: Vec<Arc<str>>,
-    /// The rank of its requests, which goes before that of the route.
+    /// The rank of its requests, which overrides that of the route.
     pub rank: Option<u32>,
-    /// In what rate and burst are counted.
+    /// The unit of `rate`, `burst` and costs.
     pub unit: RateUnit,
-    /// The units that accrue in a second over all hosts; zero for no limit.
+    /// The rate limit over all hosts, in units per second; zero for no limit.
     pub rate: u64,
-    /// The units that may be used at once after a pause.
+    /// The maximum burst, in units.
     pub burst: u64,
-    /// The tokens for which a request counts that declares none.
+    /// The tokens charged for a request that declares none.
     pub plain_tokens: u64,
 }
 
 impl CatalogCustomer {
-    /// Reports whether the customer's use is bounded.
+    /// Reports whether the customer's rate is limited.
     pub fn is_limited(&self) -> bool {
         self.rate > 0
     }
 
-    /// Returns the units for which a request counts that declares so many
-    /// tokens.
+    /// Returns the units charged for a request that declares `tokens`.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             RateUnit::Requests => 1,
--- a/crates/sequoiawing_catalog/src/index.rs
+++ b/crates/sequoiawing_catalog/src/index.rs
@@ -2,20 +2,21 @@
 use sequoiawing_types::Name;
 use std::{collections::HashMap, sync::Arc};
 
-/// A catalog that requests are looked up in.
+/// An index of a catalog for looking up requests.
 ///
-/// It is built once for each version, so that a request costs a few look-ups
-/// whatever the number of routes.
+/// It is built once for each version of the catalog, so that the cost of a
+/// request does not depend on the number of routes.
 #[derive(Debug, Default)]
 pub struct CatalogIndex {
     catalog: Arc<Catalog>,
-    /// The routes by host and prefix.
+    /// The routes by host and path prefix.
     routes: HashMap<Box<str>, HashMap<Box<str>, Arc<CatalogRoute>>>,
     customers: HashMap<Arc<str>, Arc<CatalogCustomer>>,
+    /// The positions of the pools in the catalog.
     pools: HashMap<Name, usize>,
-    /// The models by pool and name.
+    /// The positions of the models in their pools, by pool and name.
     models: HashMap<Name, HashMap<Name, usize>>,
-    /// The memory for adapters by pool.
+    /// The accelerator memory reserved for adapters by pool, in MB.
     reserves: HashMap<Name, u64>,
 }
 
@@ -48,17 +49,17 @@
         index
     }
 
-    /// Returns the catalog.
+    /// Returns the indexed catalog.
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// Returns the version; zero for none.
+    /// Returns the version of the catalog; zero if there is none.
     pub fn version(&self) -> u64 {
         self.catalog.version
     }
 
-    /// Returns the route of that host with the longest prefix of the path.
+    /// Returns the route of a host with the longest matching prefix of a path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<CatalogRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = self.routes.get(name.to_ascii_lowercase().as_str())?;
@@ -68,7 +69,7 @@
         ends.into_iter().find_map(|end| prefixes.get(&path[..end]))
     }
 
-    /// Returns the customer that holds a key.
+    /// Returns the customer that a key belongs to.
     pub fn customer(&self, key: &str) -> Option<&Arc<CatalogCustomer>> {
         self.customers.get(key)
     }
@@ -78,21 +79,21 @@
         !self.catalog.customers.is_empty()
     }
 
-    /// Returns the pool of that name.
+    /// Returns the pool of the given name.
     pub fn pool(&self, name: &Name) -> Option<&CatalogPool> {
-        let found = self.pools.get(name)?;
-        Some(&self.catalog.pools[*found])
+        let position = self.pools.get(name)?;
+        Some(&self.catalog.pools[*position])
     }
 
-    /// Returns the accelerator memory that an engine of a pool keeps for
+    /// Returns the accelerator memory that each engine of a pool reserves for
     /// adapters, in MB.
     pub fn adapter_reserve(&self, pool: &Name) -> u64 {
         self.reserves.get(pool).copied().unwrap_or_default()
     }
 
-    /// Returns the model of that name in a pool.
+    /// Returns the model of the given name in a pool.
     pub fn model(&self, pool: &Name, model: &Name) -> Option<&ModelSpec> {
-        let found = self.models.get(pool)?.get(model)?;
-        self.pool(pool)?.engine.as_ref()?.models.get(*found)
+        let position = self.models.get(pool)?.get(model)?;
+        self.pool(pool)?.engine.as_ref()?.models.get(*position)
     }
 }
--- a/crates/sequoiawing_catalog/src/lib.rs
+++ b/crates/sequoiawing_catalog/src/lib.rs
@@ -1,8 +1,8 @@
-//! Whole configurations that operators replace by version.
+//! Versioned configurations that operators replace as a whole.
 //!
-//! A [`Catalog`] holds everything that callers and placement need: routes,
-//! pools with their models, and customers with their keys. The highest version
-//! is in force. The crate has no I/O; see
+//! A [`Catalog`] holds the data needed to serve requests and place models:
+//! routes, pools with their models, and customers with their keys. The highest
+//! version is in force. The crate performs no I/O; see
 //! [docs/design/platform.md](../../../docs/design/platform.md).
 
 mod catalog;
--- a/crates/sequoiawing_catalog/src/pool.rs
+++ b/crates/sequoiawing_catalog/src/pool.rs
@@ -6,62 +6,62 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ModelSpec {
-    /// The name.
+    /// The model's name.
     pub name: Name,
-    /// The accelerator memory of its weights, in MB.
+    /// The accelerator memory that its weights need, in MB.
     pub weights: u64,
-    /// How long a load from the weight store takes, in milliseconds.
+    /// The time to load it from the weight store, in milliseconds.
     pub store_load: u64,
-    /// How long a load from the engine's disk takes, in milliseconds.
+    /// The time to load it from the engine's disk, in milliseconds.
     pub disk_load: u64,
-    /// How long a load from the engine's main memory takes, in milliseconds.
+    /// The time to load it from the engine's main memory, in milliseconds.
     pub memory_load: u64,
     /// The number of its adapters.
     pub adapters: u32,
-    /// The accelerator memory of one adapter, in MB.
+    /// The accelerator memory that one adapter needs, in MB.
     pub adapter_weights: u64,
 }
 
-/// What the engines of a pool can hold and do.
+/// The capacities of each engine of a pool.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Engine {
-    /// The requests that run at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// The tokens that running requests and kept prompt parts share.
+    /// The token capacity shared by running requests and cached prompt prefixes.
     pub tokens: u64,
     /// The accelerator memory for weights and adapters, in MB.
     pub weights: u64,
-    /// The adapters that are held at once.
+    /// The maximum number of loaded adapters.
     pub adapter_slots: u32,
-    /// The loads that the weight store bears in a second over all engines, in
-    /// thousandths.
+    /// The load rate that the weight store sustains over all engines, in
+    /// thousandths of a load per second.
     pub load_rate: u64,
-    /// The main memory for copies of weights, in MB.
+    /// The main memory for cached weights, in MB.
     pub host_memory: u64,
-    /// The disk for copies of weights, in MB.
+    /// The disk space for cached weights, in MB.
     pub disk: u64,
-    /// The tokens that one event of a stream holds.
+    /// The number of tokens in one event of a stream.
     pub stride: u64,
-    /// The models.
+    /// The models that the engines may load.
     pub models: Vec<ModelSpec>,
 }
 
 impl Engine {
-    /// Returns the model of that name.
+    /// Returns the model of the given name.
     pub fn model(&self, name: &Name) -> Option<&ModelSpec> {
         self.models.iter().find(|m| m.name == *name)
     }
 
-    /// Returns the accelerator memory that adapters may need on an engine that
-    /// holds as many of the largest ones as it may, in MB.
+    /// Returns the accelerator memory to reserve for adapters, in MB: enough to
+    /// fill all adapter slots with the largest adapter.
     pub fn adapter_reserve(&self) -> u64 {
         let with_adapters = self.models.iter().filter(|m| m.adapters > 0);
         let largest = with_adapters.map(|m| m.adapter_weights).max();
         largest.unwrap_or_default() * u64::from(self.adapter_slots)
     }
 
-    /// Returns the shortest time between two loads from the weight store.
+    /// Returns the minimum interval between two loads from the weight store.
     pub fn load_interval(&self) -> Duration {
         let millis = 1_000_000_u64.checked_div(self.load_rate);
         Duration::from_millis(millis.unwrap_or_default())
@@ -72,12 +72,12 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct CatalogPool {
-    /// The name that upstreams give when they announce themselves.
+    /// The pool's name, which its upstreams announce.
     pub name: Name,
-    /// The path of their health check.
+    /// The path of the upstreams' health check.
     pub health: String,
-    /// The connections that one upstream accepts from all hosts.
+    /// The maximum number of connections to one upstream over all hosts.
     pub connections: u32,
-    /// What its engines can hold; nothing for plain services.
+    /// The capacities of its engines; `None` for services that load no models.
     pub engine: Option<Engine>,
 }
--- a/crates/sequoiawing_catalog/src/route.rs
+++ b/crates/sequoiawing_catalog/src/route.rs
@@ -2,7 +2,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How often a request of a route may run.
+/// How often a request of a route may run, and the form of its answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryPolicy {
@@ -13,7 +13,7 @@
     Once,
     /// At most once, and the answer is a stream of events.
     Stream,
-    /// The answer is a stream of events that another run may go on with.
+    /// The answer is a stream of events that another attempt may continue.
     Resumable,
 }
 
@@ -23,69 +23,70 @@
         matches!(self, Self::Stream | Self::Resumable)
     }
 
-    /// Reports whether a request that may have run may be sent again.
+    /// Reports whether a request that may have run already may be retried.
     pub fn allows_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 }
 
-/// A pool that takes a part of a route's requests.
+/// A pool that receives a share of a route's requests.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Target {
     /// The pool.
     pub pool: Name,
-    /// Its part, against the sum over all targets.
+    /// The pool's share, relative to the sum over all targets.
     pub weight: u64,
 }
 
-/// Which requests go to which pools, and how they are treated.
+/// A rule that assigns requests to pools and sets how they are processed.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct CatalogRoute {
-    /// The name.
+    /// The route's name.
     pub name: Name,
-    /// The `Host` that a request names.
+    /// The value of the `Host` header that requests must have.
     pub host: Name,
-    /// What its path begins with.
+    /// The prefix that the path of requests must have.
     pub prefix: Name,
-    /// How often a request may run.
+    /// Whether requests may be retried.
     pub repeat: RetryPolicy,
-    /// The longest time from arrival to the end of the answer, in
+    /// The maximum time from the arrival of a request to the end of its answer, in
     /// milliseconds.
     pub timeout: u64,
-    /// The time within which an answer is on time, in milliseconds.
+    /// The target latency of answers, in milliseconds.
     pub aim: u64,
-    /// The longest pause between events that is on time, in milliseconds.
+    /// The target for the longest gap between events, in milliseconds.
     pub gap: u64,
-    /// The rank; 0 is served first.
+    /// The priority rank; 0 is served first.
     pub rank: u32,
-    /// The most upstreams that one request may be sent to.
+    /// The maximum number of upstreams that a request may be sent to.
     pub attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub open: bool,
-    /// Whether requests that share the beginning of their prompt should meet
-    /// at one upstream.
+    /// Whether requests with a common prompt prefix should be sent to the same
+    /// upstream.
     pub affine: bool,
-    /// Where requests go.
+    /// The pools that receive the requests.
     pub targets: Vec<Target>,
 }
 
 impl CatalogRoute {
-    /// Returns the longest time that a request may take.
+    /// Returns the maximum time that a request may take.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout)
     }
 
-    /// Returns the time within which an answer is on time.
+    /// Returns the target latency of answers.
     pub fn target_latency(&self) -> Duration {
         Duration::from_millis(self.aim)
     }
 
-    /// Returns the pool for a number that was drawn uniformly.
-    pub fn choose_pool(&self, drawn: u64) -> Option<&Name> {
+    /// Returns the pool for a uniformly distributed random number; `None` if the
+    /// weights add up to 0.
+    pub fn choose_pool(&self, random: u64) -> Option<&Name> {
         let total: u64 = self.targets.iter().map(|t| t.weight).sum();
-        let mut rest = drawn.checked_rem(total)?;
+        let mut rest = random.checked_rem(total)?;
         let chosen = self.targets.iter().find(|target| {
             let is_chosen = rest < target.weight;
             rest = rest.saturating_sub(target.weight);
--- a/crates/sequoiawing_catalog/tests/catalog.rs
+++ b/crates/sequoiawing_catalog/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! What a catalog accepts and how requests are looked up in it.
+//! Tests of the validation of catalogs and the look-up of requests.
 
 use sequoiawing_catalog::{
     Catalog, CatalogCustomer, CatalogIndex, CatalogPool, CatalogRoute, Target,
@@ -24,7 +24,7 @@
     }
 }
 
-fn client(name: &str, keys: &[&str]) -> CatalogCustomer {
+fn customer(name: &str, keys: &[&str]) -> CatalogCustomer {
     CatalogCustomer {
         name: Name::from(name),
         keys: keys.iter().map(|k| Arc::from(*k)).collect(),
@@ -58,27 +58,27 @@
 }
 
 findings! {
-    a_sound_catalog_has_none:
+    a_valid_catalog_has_no_findings:
         catalog(vec![route("a", "h", "/a/"), route("b", "h", "/b/")], vec![]) => [];
-    an_unknown_pool: catalog(vec![CatalogRoute {
+    a_target_with_an_unknown_pool: catalog(vec![CatalogRoute {
         targets: vec![target("gone", 1)],
         ..route("a", "h", "/a/")
     }], vec![]) => ["routes.a.targets"];
-    weights_of_zero: catalog(vec![CatalogRoute {
+    targets_with_weights_of_zero: catalog(vec![CatalogRoute {
         targets: vec![target("captions", 0), target("captions", 0)],
         ..route("a", "h", "/a/")
     }], vec![]) => ["routes.a.targets"];
-    no_target: catalog(vec![CatalogRoute {
+    a_route_without_targets: catalog(vec![CatalogRoute {
         targets: vec![],
         ..route("a", "h", "/a/")
     }], vec![]) => ["routes.a.targets"];
-    no_timeout: catalog(vec![CatalogRoute { timeout: 0, ..route("a", "h", "/a/") }], vec![])
+    a_route_without_timeout: catalog(vec![CatalogRoute { timeout: 0, ..route("a", "h", "/a/") }], vec![])
         => ["routes.a.timeout"];
-    one_place_twice:
+    two_routes_with_the_same_host_and_prefix:
         catalog(vec![route("a", "h", "/a/"), route("b", "H", "/a/")], vec![]) => ["routes.b.prefix"];
-    a_shared_key:
-        catalog(vec![], vec![client("x", &["k", "l"]), client("y", &["l"])]) => ["customers.y.keys"];
-    several_at_once: catalog(
+    two_customers_with_the_same_key:
+        catalog(vec![], vec![customer("x", &["k", "l"]), customer("y", &["l"])]) => ["customers.y.keys"];
+    several_findings_at_once: catalog(
         vec![CatalogRoute { timeout: 0, targets: vec![], ..route("a", "h", "/a/") }],
         vec![],
     ) => ["routes.a.timeout", "routes.a.targets"];
@@ -102,17 +102,17 @@
 
 routes! {
     the_longest_prefix_wins: "h" "/a/b/c" => Some("long");
-    a_prefix_ends_with_its_slash: "h" "/a/bc" => Some("short");
-    the_prefix_alone_matches: "h" "/a/b/" => Some("long");
-    without_its_slash_it_does_not: "h" "/a" => None;
-    hosts_have_routes_of_their_own: "other" "/a/b/c" => Some("all");
-    a_host_is_known_in_any_case_and_with_a_port: "H:8080" "/a/x" => Some("short");
-    an_unknown_host_has_none: "nobody" "/a/b/c" => None;
+    a_prefix_matches_whole_segments_only: "h" "/a/bc" => Some("short");
+    a_path_equal_to_the_prefix_matches: "h" "/a/b/" => Some("long");
+    a_prefix_without_its_slash_does_not_match: "h" "/a" => None;
+    each_host_has_its_own_routes: "other" "/a/b/c" => Some("all");
+    the_case_and_port_of_a_host_are_ignored: "H:8080" "/a/x" => Some("short");
+    an_unknown_host_has_no_route: "nobody" "/a/b/c" => None;
 }
 
 #[test]
-fn a_key_leads_to_its_customer() {
-    let customers = vec![client("x", &["k", "l"]), client("y", &["m"])];
+fn a_key_identifies_its_customer() {
+    let customers = vec![customer("x", &["k", "l"]), customer("y", &["m"])];
     let index = CatalogIndex::new(&Arc::new(catalog(vec![], customers)));
     let name = |key| index.customer(key).map(|c| c.name.as_str());
     assert_eq!(
@@ -122,14 +122,16 @@
 }
 
 #[test]
-fn targets_are_drawn_by_their_weights() {
+fn targets_are_chosen_by_weight() {
     let route = CatalogRoute {
         targets: vec![target("a", 9), target("none", 0), target("b", 1)],
         ..CatalogRoute::default()
     };
     let mut counts = BTreeMap::new();
-    for drawn in 0..1_000 {
-        let pool = route.choose_pool(drawn).expect("a weight is positive");
+    for random in 0..1_000 {
+        let pool = route
+            .choose_pool(random)
+            .expect("a weight should be positive");
         *counts.entry(pool.as_str()).or_insert(0) += 1;
     }
     assert_eq!(counts, BTreeMap::from([("a", 900), ("b", 100)]));
--- a/crates/sequoiawing_types/src/findings.rs
+++ b/crates/sequoiawing_types/src/findings.rs
@@ -1,17 +1,17 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One thing wrong with an input, and where it stands.
+/// A problem in an input and its location.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Finding {
-    /// The path to the faulty value, such as `pools.captions.models`.
+    /// The path to the invalid value, such as `pools.captions.models`.
     pub place: String,
-    /// What is wrong, as a sentence without a full stop.
+    /// The description of the problem, without a trailing period.
     pub problem: String,
 }
 
-/// Everything wrong with an input, reported together so that an operator mends
-/// it in one pass.
+/// All problems in an input, reported together so that an operator can fix them
+/// in one pass.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Findings(Vec<Finding>);
@@ -28,12 +28,12 @@
         self.0.push(Finding { place, problem });
     }
 
-    /// Reports whether nothing was found.
+    /// Reports whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Iterates over the findings in the order in which they were found.
+    /// Iterates over the findings in the order in which they were added.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.0.iter()
     }
@@ -43,11 +43,11 @@
         self.0.extend(other.0);
     }
 
-    /// Turns the findings into a result that is an error unless empty.
+    /// Converts the findings into a result.
     ///
     /// # Errors
     ///
-    /// Returns the findings when there are any.
+    /// Returns the findings if there are any.
     pub fn into_result(self) -> Result<(), Self> {
         if self.is_empty() { Ok(()) } else { Err(self) }
     }
--- a/crates/sequoiawing_types/src/lib.rs
+++ b/crates/sequoiawing_types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Names, times and findings that every `sequoiawing` crate shares.
+//! Basic types that all `sequoiawing` crates share, such as names and times.
 //!
-//! The crate has no I/O, so that the decision logic built on it can run under
+//! The crate performs no I/O, so that the decision logic built on it can run in
 //! virtual time. See [docs/ARCHITECTURE.md](../../../docs/ARCHITECTURE.md).
 
 mod findings;
@@ -15,7 +15,7 @@
 pub use request_id::RequestId;
 pub use time::Time;
 
-/// The types that almost every other crate imports.
+/// The types that most crates import.
 pub mod prelude {
     pub use crate::{Finding, Findings, Name, Ran, RequestId, Time};
 }
--- a/crates/sequoiawing_types/src/name.rs
+++ b/crates/sequoiawing_types/src/name.rs
@@ -1,10 +1,10 @@
 use serde::{Deserialize, Serialize};
 use std::{borrow::Borrow, fmt, sync::Arc};
 
-/// A shared immutable name of a host, data centre, customer, upstream, route,
+/// A shared, immutable name of a host, data centre, customer, upstream, route,
 /// pool or model.
 ///
-/// Names are cloned into every message and index, so they share one allocation.
+/// Names are cloned into many messages and indexes; clones share one allocation.
 ///
 /// ```
 /// use sequoiawing_types::Name;
@@ -16,7 +16,7 @@
 #[serde(transparent)]
 pub struct Name(Arc<str>);
 
-/// The longest name that the tables accept, in bytes.
+/// The maximum length of a name in the tables, in bytes.
 const MAX_LENGTH: usize = 128;
 
 impl Name {
@@ -25,12 +25,12 @@
         &self.0
     }
 
-    /// Reports whether others hold the same allocation.
+    /// Reports whether other clones share the allocation.
     pub fn is_shared(&self) -> bool {
         Arc::strong_count(&self.0) > 1
     }
 
-    /// Reports whether the name may stand in a table: 1 to 128 ASCII letters,
+    /// Reports whether the name is valid in a table: 1 to 128 ASCII letters,
     /// digits, `-`, `_`, `.` or `/`.
     pub fn is_valid(&self) -> bool {
         let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_./".contains(&b);
--- a/crates/sequoiawing_types/src/ran.rs
+++ b/crates/sequoiawing_types/src/ran.rs
@@ -1,10 +1,10 @@
 use serde::{Deserialize, Serialize};
 
-/// Whether a request ran on an upstream, as told to its caller.
+/// Whether a request ran on an upstream, as reported to its caller.
 ///
-/// Callers repeat a request safely only when the answer says [`Ran::No`], so
-/// that value is used only when not a byte that could start the request has
-/// reached an upstream.
+/// Callers can safely retry a request only after [`Ran::No`]. That value is
+/// therefore used only if no byte that could start the request has reached an
+/// upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
--- a/crates/sequoiawing_types/src/request_id.rs
+++ b/crates/sequoiawing_types/src/request_id.rs
@@ -1,19 +1,19 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// An identifier that a client draws once for a change and repeats with every
-/// resend, so that a change whose reply was lost is not made twice.
+/// An idempotency key that a client generates once for a change and sends with
+/// every retry, so that a change whose reply was lost is not applied twice.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct RequestId(String);
 
 impl RequestId {
-    /// Draws a random identifier of 128 bits.
+    /// Generates a random identifier of 128 bits.
     pub fn random() -> Self {
         Self(hex::encode(rand::random::<[u8; 16]>()))
     }
 
-    /// Returns the identifier as text.
+    /// Returns the identifier as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/sequoiawing_types/src/time.rs
+++ b/crates/sequoiawing_types/src/time.rs
@@ -5,10 +5,10 @@
     time::Duration,
 };
 
-/// A monotonic instant in microseconds since an origin that its process chose.
+/// A monotonic instant in microseconds since an origin chosen by its process.
 ///
-/// Decision logic takes the time as an argument, so that scripts can run it
-/// under virtual time. Instants of different processes are never compared.
+/// Decision logic takes the time as an argument, so that tests can run it in
+/// virtual time. Instants of different processes must not be compared.
 ///
 /// ```
 /// use sequoiawing_types::Time;
@@ -30,12 +30,12 @@
     /// The origin.
     pub const ZERO: Self = Self(0);
 
-    /// Returns an instant so many microseconds after the origin.
+    /// Returns the instant `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Returns an instant so many milliseconds after the origin.
+    /// Returns the instant `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
@@ -45,7 +45,7 @@
         self.0
     }
 
-    /// Returns the time since `earlier`, or zero when `earlier` is later.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -54,8 +54,8 @@
 impl Add<Duration> for Time {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 }
