--- a/crates/sequoiawing_catalog/src/index.rs
+++ b/crates/sequoiawing_catalog/src/index.rs
@@ -81,8 +81,8 @@
 
     /// Returns the pool of the given name.
     pub fn pool(&self, name: &Name) -> Option<&CatalogPool> {
-        let position = self.pools.get(name)?;
-        Some(&self.catalog.pools[*position])
+        let index = self.pools.get(name)?;
+        Some(&self.catalog.pools[*index])
     }
 
     /// Returns the accelerator memory that each engine of a pool reserves for
@@ -93,7 +93,7 @@
 
     /// Returns the model of the given name in a pool.
     pub fn model(&self, pool: &Name, model: &Name) -> Option<&ModelSpec> {
-        let position = self.models.get(pool)?.get(model)?;
-        self.pool(pool)?.engine.as_ref()?.models.get(*position)
+        let index = self.models.get(pool)?.get(model)?;
+        self.pool(pool)?.engine.as_ref()?.models.get(*index)
     }
 }
--- a/crates/sequoiawing_fleet/src/name_interner.rs
+++ b/crates/sequoiawing_fleet/src/name_interner.rs
@@ -36,7 +36,7 @@
             *name = self.intern(name);
         }
         for list in StateList::ALL {
-            self.compact_list(list.get_mut(state));
+            self.compact_list(list.names_mut(state));
         }
         self.compact_list(&mut state.active);
         self.compact_list(&mut state.failed);
--- a/crates/sequoiawing_fleet/src/publisher.rs
+++ b/crates/sequoiawing_fleet/src/publisher.rs
@@ -117,7 +117,7 @@
 fn without_lists(state: &UpstreamState) -> UpstreamState {
     let mut rest = state.clone();
     for list in StateList::ALL {
-        list.get_mut(&mut rest).clear();
+        list.names_mut(&mut rest).clear();
     }
     rest
 }
@@ -126,7 +126,7 @@
 fn difference(one: &UpstreamState, other: &UpstreamState) -> Vec<(StateList, Name)> {
     let listed = StateList::ALL
         .into_iter()
-        .flat_map(|list| list.get(one).iter().map(move |name| (list, name)));
-    let missing = listed.filter(|(list, name)| !list.get(other).contains(name));
+        .flat_map(|list| list.names(one).iter().map(move |name| (list, name)));
+    let missing = listed.filter(|(list, name)| !list.names(other).contains(name));
     missing.map(|(list, name)| (list, name.clone())).collect()
 }
--- a/crates/sequoiawing_fleet/src/remote_centres.rs
+++ b/crates/sequoiawing_fleet/src/remote_centres.rs
@@ -178,10 +178,10 @@
                 };
                 let state = Arc::make_mut(entry);
                 for (list, item) in lost {
-                    list.get_mut(state).retain(|known| known != item);
+                    list.names_mut(state).retain(|known| known != item);
                 }
                 for (list, item) in gained {
-                    list.get_mut(state).push(names.intern(item));
+                    list.names_mut(state).push(names.intern(item));
                 }
                 update.changed.push(name.clone());
             }
--- a/crates/sequoiawing_fleet/src/summary.rs
+++ b/crates/sequoiawing_fleet/src/summary.rs
@@ -41,7 +41,7 @@
         Self::Cached,
     ];
 
-    pub(crate) fn get(self, state: &UpstreamState) -> &Vec<Name> {
+    pub(crate) fn names(self, state: &UpstreamState) -> &Vec<Name> {
         match self {
             Self::Loaded => &state.loaded,
             Self::Adapter => &state.adapters,
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(crate) fn get_mut(self, state: &mut UpstreamState) -> &mut Vec<Name> {
+    pub(crate) fn names_mut(self, state: &mut UpstreamState) -> &mut Vec<Name> {
         match self {
             Self::Loaded => &mut state.loaded,
             Self::Adapter => &mut state.adapters,
--- a/crates/sequoiawing_fleet/tests/network/router.rs
+++ b/crates/sequoiawing_fleet/tests/network/router.rs
@@ -44,7 +44,7 @@
     pub(crate) source: Source,
     pub(crate) registry: Registry,
     publisher: Publisher,
-    last_confirmed: Time,
+    confirmed: Time,
     announced_here: BTreeMap<Name, Time>,
     changed: BTreeSet<Name>,
     forward: Vec<Summary>,
@@ -58,7 +58,7 @@
             source: Source { host, start },
             registry: Registry::default(),
             publisher: Publisher::new(centre),
-            last_confirmed: Time::ZERO,
+            confirmed: Time::ZERO,
             announced_here: BTreeMap::new(),
             changed: BTreeSet::new(),
             forward: Vec::new(),
@@ -112,12 +112,11 @@
             self.publisher
                 .publish(rank, self.registry.local().map(Arc::as_ref))
         });
-        let is_due = |s: &Summary| {
-            s.base != Some(s.serial) || now.since(self.last_confirmed) >= CONFIRM_INTERVAL
-        };
+        let is_due =
+            |s: &Summary| s.base != Some(s.serial) || now.since(self.confirmed) >= CONFIRM_INTERVAL;
         let summary = summary.filter(is_due);
         if summary.is_some() {
-            self.last_confirmed = now;
+            self.confirmed = now;
         }
         (batch, summary)
     }
