--- a/crates/sequoiawing_catalog/tests/catalog.rs
+++ b/crates/sequoiawing_catalog/tests/catalog.rs
@@ -77,7 +77,8 @@
     two_routes_with_the_same_host_and_prefix:
         catalog(vec![route("a", "h", "/a/"), route("b", "H", "/a/")], vec![]) => ["routes.b.prefix"];
     two_customers_with_the_same_key:
-        catalog(vec![], vec![customer("x", &["k", "l"]), customer("y", &["l"])]) => ["customers.y.keys"];
+        catalog(vec![], vec![customer("x", &["k", "l"]), customer("y", &["l"])])
+        => ["customers.y.keys"];
     several_findings_at_once: catalog(
         vec![CatalogRoute { timeout: 0, targets: vec![], ..route("a", "h", "/a/") }],
         vec![],
