--- a/crates/sequoiawing_bench/tests/shares/world.rs
+++ b/crates/sequoiawing_bench/tests/shares/world.rs
@@ -211,7 +211,7 @@
         let tables = self.hosts[i].tables.clone();
         let own = centre(i / HOSTS);
         let members = tables.members(&own).map(|h| h.host.clone()).collect();
-        let epoch = tables.cell(&own).epoch;
+        let epoch = tables.cell_epoch(&own).epoch;
         self.cell_event(i, CellEvent::Members { epoch, members });
         let pools = tables.pools.values().cloned().collect();
         self.place(i, PlaceEvent::Configured { pools });
--- a/crates/sequoiawing_controller/src/applied.rs
+++ b/crates/sequoiawing_controller/src/applied.rs
@@ -59,7 +59,7 @@
         };
         let mut next = Tables::clone(&shown);
         drop(shown);
-        next.update(update);
+        next.apply_update(update);
         self.published.set(Arc::new(next));
     }
 }
--- a/crates/sequoiawing_controller/src/budgets.rs
+++ b/crates/sequoiawing_controller/src/budgets.rs
@@ -230,7 +230,7 @@
         let mut owned = Self {
             term,
             lenders: BTreeMap::new(),
-            former: tables.budgets().clone(),
+            former: tables.watermarks().clone(),
             revision: Revision::default(),
             is_proposing: false,
         };
--- a/crates/sequoiawing_controller/src/daemon.rs
+++ b/crates/sequoiawing_controller/src/daemon.rs
@@ -10,7 +10,7 @@
 use sequoiawing_consensus::{
     DiskStorage, LogStorage, ReplicaId, ReplicaSettings, StorageError, StorageLimits,
 };
-use sequoiawing_link::{Control, LinkListener, Secret, answer_calls};
+use sequoiawing_link::{Control, LinkListener, Secret, connection_handler};
 use sequoiawing_runtime::{Clock, Shutdown, Watch, sleep, spawn, timeout};
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -100,7 +100,7 @@
             handle: handle.clone(),
             budgets: Budgets::start(handle.clone(), shutdown.clone()),
         };
-        spawn(listener.serve(answer_calls!(service.serve()), shutdown.clone())).detach();
+        spawn(listener.serve(connection_handler!(service.serve()), shutdown.clone())).detach();
         log::info!(target: "controller", "Serving routers and operators at {link}.");
         let controller = Self {
             shutdown,
--- a/crates/sequoiawing_controller/src/handle.rs
+++ b/crates/sequoiawing_controller/src/handle.rs
@@ -38,7 +38,7 @@
     /// fails, or the fate of the command is not known; a resend of an edit with
     /// the same request id then gets the first answer.
     pub async fn propose(&self, command: &Command) -> Result<Outcome, ControlError> {
-        let json = serde_json::to_string(&command.clone().stamped(wall_clock()));
+        let json = serde_json::to_string(&command.clone().with_leader_clock(wall_clock()));
         let json = json.map_err(|e| ControlError::Storage(e.to_string()))?;
         let command = Arc::from(json);
         self.ask(|answer| Call::Propose { command, answer }).await
--- a/crates/sequoiawing_controller/src/service.rs
+++ b/crates/sequoiawing_controller/src/service.rs
@@ -2,7 +2,8 @@
 use sequoiawing_budget::LenderView;
 use sequoiawing_consensus::{Envelope, MemberChange};
 use sequoiawing_link::{
-    BudgetBatch, BudgetReplies, Context, Control, ControlError, ControlStatus, Follow, Published,
+    BudgetBatch, BudgetReplies, Context, Control, ControlError, ControlStatus, FollowReply,
+    FollowRequest,
 };
 use sequoiawing_tables::{Command, Outcome, Tables};
 use sequoiawing_types::Name;
@@ -20,11 +21,11 @@
         self.handle.propose(&command).await
     }
 
-    async fn follow(self, _: Context, question: Follow) -> Published {
+    async fn follow(self, _: Context, question: FollowRequest) -> FollowReply {
         let wait = Duration::from_millis(question.wait);
         self.handle.newer(question.revision, wait).await;
         let tables = self.handle.tables();
-        Published {
+        FollowReply {
             revision: tables.revision,
             update: tables.update_from(question.revision),
             age: u64::try_from(self.handle.age().as_millis()).unwrap_or(u64::MAX),
--- a/crates/sequoiawing_ctl/src/explain.rs
+++ b/crates/sequoiawing_ctl/src/explain.rs
@@ -1,5 +1,5 @@
 use crate::{CtlError, Operator, Report, report::table};
-use sequoiawing_link::{Explanation, Question, Verdict};
+use sequoiawing_link::{ExplainRequest, Explanation, Verdict};
 use sequoiawing_types::Name;
 use serde::Serialize;
 
@@ -32,7 +32,7 @@
 pub(crate) async fn explain(
     operator: &Operator,
     host: Option<&str>,
-    question: Question,
+    question: ExplainRequest,
 ) -> Result<Explanations, CtlError> {
     let tables = operator.glance().await;
     let mut hosts = operator.hosts(tables.as_ref());
--- a/crates/sequoiawing_ctl/src/keys.rs
+++ b/crates/sequoiawing_ctl/src/keys.rs
@@ -70,7 +70,7 @@
     /// not be committed.
     pub async fn grant_key(&self, customer: &str) -> Result<BearerKey, CtlError> {
         let key = BearerKey::random();
-        let change = Change::GrantKey(key.at_rest(Name::from(customer)));
+        let change = Change::GrantKey(key.to_stored_key(Name::from(customer)));
         self.edit(None, vec![change]).await?;
         if self.has_request() && !self.read().await?.keys.contains_key(&key.id) {
             let mut findings = Findings::default();
--- a/crates/sequoiawing_ctl/src/run.rs
+++ b/crates/sequoiawing_ctl/src/run.rs
@@ -5,7 +5,7 @@
 };
 use clap::ArgMatches;
 use clap_complete::Shell;
-use sequoiawing_link::Question;
+use sequoiawing_link::ExplainRequest;
 use sequoiawing_tables::{KeyId, Revision};
 use sequoiawing_types::{Name, RequestId};
 use serde_json::json;
@@ -151,8 +151,8 @@
     Ok(())
 }
 
-fn question(matches: &ArgMatches) -> Question {
-    Question {
+fn question(matches: &ArgMatches) -> ExplainRequest {
+    ExplainRequest {
         key: option(matches, "key").map(KeyId::from),
         customer: option(matches, "customer").map(Name::from),
         host: text(matches, "host-header").to_owned(),
--- a/crates/sequoiawing_gateway/src/hub_sync.rs
+++ b/crates/sequoiawing_gateway/src/hub_sync.rs
@@ -4,7 +4,7 @@
 use futures_lite::FutureExt;
 use parking_lot::Mutex;
 use sequoiawing_fleet::Cursor;
-use sequoiawing_link::{GatewayReport, HubClient, HubFacts, HubNews, Secret, Stub};
+use sequoiawing_link::{GatewayReport, HubClient, HubInfo, Secret, Stub, SyncReply};
 use sequoiawing_policy::serving::{HubRole, HubStatus};
 use sequoiawing_runtime::{Shutdown, Task, sleep, spawn};
 use std::{
@@ -176,7 +176,7 @@
             wait: u64::try_from(wait.as_millis()).unwrap_or_default(),
         };
         let call = async |client: HubClient, context| client.sync(context, report).await;
-        let update: HubNews = match self.stub.call(CALL_TIMEOUT, call).await {
+        let update: SyncReply = match self.stub.call(CALL_TIMEOUT, call).await {
             Ok(update) => update,
             Err(error) => {
                 log::debug!(target: "gateway", "Call to a hub failed: {error}.");
@@ -194,7 +194,7 @@
     }
 
     /// Records the hub's facts and the other hubs that it lists.
-    fn update_hub(&self, facts: HubFacts) {
+    fn update_hub(&self, facts: HubInfo) {
         let fact = HubStatus {
             centre: facts.centre,
             leads: facts.leads,
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -5,7 +5,7 @@
 use sequoiawing_catalog::{Catalog, CatalogIndex, Client};
 use sequoiawing_fleet::{Cursor, Interest, Listed, Roster};
 use sequoiawing_http::Client as HttpClient;
-use sequoiawing_link::{DemandBatch, HubNews, ModelDemand, OrderedLoads, PlannedLoad};
+use sequoiawing_link::{DemandBatch, ModelDemand, OrderedLoads, PlannedLoad, SyncReply};
 use sequoiawing_policy::serving::{
     Assignment, AttemptOutcome, Balancer, BalancerRequest, HubRole, HubSelector, HubStatus,
     PeerView, PickResult, ReportedLoad, RetryWindow, SharedTokenBucket,
@@ -405,7 +405,7 @@
     pub(crate) fn apply_hub_update(
         &self,
         hub: SocketAddr,
-        update: HubNews,
+        update: SyncReply,
         reported: &[(Name, u64)],
     ) {
         let now = self.now();
--- a/crates/sequoiawing_hub/src/aggregation.rs
+++ b/crates/sequoiawing_hub/src/aggregation.rs
@@ -1,4 +1,4 @@
-use sequoiawing_link::{DemandBatch, GatewayReport, GatewayUse, ModelDemand};
+use sequoiawing_link::{DemandBatch, GatewayReport, GatewayUsage, ModelDemand};
 use sequoiawing_types::{Name, Time};
 use serde::Serialize;
 use std::{
@@ -83,7 +83,7 @@
     pub fn record(&mut self, now: Time, report: &GatewayReport) {
         self.stamp += 1;
         let stamp = self.stamp;
-        let usage = GatewayUse {
+        let usage = GatewayUsage {
             host: report.host.clone(),
             incarnation: report.incarnation,
             leaving: report.leaving,
@@ -99,7 +99,7 @@
     }
 
     /// Merges the usage that a gateway reported to another hub.
-    pub fn merge(&mut self, now: Time, usage: &GatewayUse) {
+    pub fn merge(&mut self, now: Time, usage: &GatewayUsage) {
         // A report from before this process's start counts as of its start.
         let heard = Time::ZERO + now.since(Time::ZERO + Duration::from_millis(usage.age));
         if !self.gateways.contains_key(&usage.host) {
@@ -129,11 +129,11 @@
 
     /// Returns the newest stamp, and the usage that gateways reported to this hub
     /// after `stamp`.
-    pub fn changes_since(&self, now: Time, stamp: u64) -> (u64, Vec<GatewayUse>) {
+    pub fn changes_since(&self, now: Time, stamp: u64) -> (u64, Vec<GatewayUsage>) {
         // A stamp from before this hub's restart exceeds the current ones.
         let after = if stamp > self.stamp { 0 } else { stamp };
         let newer = self.gateways.iter().filter(|(_, g)| g.reported > after);
-        let usage = newer.map(|(host, g)| GatewayUse {
+        let usage = newer.map(|(host, g)| GatewayUsage {
             host: host.clone(),
             incarnation: g.incarnation,
             leaving: g.leaving,
--- a/crates/sequoiawing_hub/src/handover.rs
+++ b/crates/sequoiawing_hub/src/handover.rs
@@ -2,7 +2,7 @@
 
 use crate::hub::HubState;
 use futures::future::join_all;
-use sequoiawing_link::{HubClient, HubFacts};
+use sequoiawing_link::{HubClient, HubInfo};
 use sequoiawing_policy::serving::handover_wait;
 use sequoiawing_runtime::sleep;
 use std::{net::IpAddr, time::Duration};
@@ -36,7 +36,7 @@
     }
 }
 
-async fn fetch_facts(state: &HubState, host: IpAddr) -> Option<HubFacts> {
+async fn fetch_facts(state: &HubState, host: IpAddr) -> Option<HubInfo> {
     let call = async |client: HubClient, context| client.facts(context).await;
     match state.stub(host).call(CALL_TIMEOUT, call).await {
         Ok(facts) => Some(facts),
--- a/crates/sequoiawing_hub/src/hub.rs
+++ b/crates/sequoiawing_hub/src/hub.rs
@@ -7,8 +7,9 @@
 use sequoiawing_controller::ControllerHandle;
 use sequoiawing_fleet::{Interest, Roster, UpstreamState};
 use sequoiawing_link::{
-    ControlError, GatewayReport, Hub as _, HubClient, HubFacts, HubNews, LinkListener, MirrorNews,
-    MirrorRequest, ModelDemand, OrderedLoads, PlannedLoad, Secret, Stub, answer_calls,
+    ControlError, GatewayReport, Hub as _, HubClient, HubInfo, LinkListener, MirrorReply,
+    MirrorRequest, ModelDemand, OrderedLoads, PlannedLoad, Secret, Stub, SyncReply,
+    connection_handler,
 };
 use sequoiawing_runtime::{Clock, Shutdown, Watch, sleep, spawn, timeout};
 use sequoiawing_tables::{Command, Outcome};
@@ -121,7 +122,7 @@
 
     /// Records a gateway's report, and responds once there are changes or the wait
     /// is over.
-    pub(crate) async fn sync(&self, report: &GatewayReport) -> HubNews {
+    pub(crate) async fn sync(&self, report: &GatewayReport) -> SyncReply {
         self.record_report(report);
         let wait = Duration::from_millis(report.wait);
         let is_new = |seen: &u64| *seen != report.seen;
@@ -174,8 +175,8 @@
     }
 
     /// Returns the facts by which gateways choose among hubs.
-    pub(crate) fn facts(&self) -> HubFacts {
-        HubFacts {
+    pub(crate) fn facts(&self) -> HubInfo {
+        HubInfo {
             centre: self.settings.centre.clone(),
             hubs: self.hubs(),
             leads: self.handle.leadership().is_some(),
@@ -187,7 +188,7 @@
         }
     }
 
-    fn build_news(&self, report: &GatewayReport) -> HubNews {
+    fn build_news(&self, report: &GatewayReport) -> SyncReply {
         let now = self.now();
         let seen = self.changes.get();
         let usage = self.usage.lock();
@@ -200,7 +201,7 @@
         let silent = roster.silent(now, self.settings.silence_timeout);
         drop(roster);
         let catalog = self.handle.tables().catalog.clone();
-        HubNews {
+        SyncReply {
             epoch: self.epoch,
             facts: self.facts(),
             catalog: (catalog.version > report.version).then_some(catalog),
@@ -216,7 +217,7 @@
     }
 
     /// Responds to another hub once there are changes or the wait is over.
-    pub(crate) async fn mirror(&self, request: &MirrorRequest) -> MirrorNews {
+    pub(crate) async fn mirror(&self, request: &MirrorRequest) -> MirrorReply {
         let wait = Duration::from_millis(request.wait);
         let is_new = |seen: &u64| *seen != request.seen;
         timeout(wait, self.changes.wait_until(is_new)).await;
@@ -226,7 +227,7 @@
         let roster = roster.since(request.cursor, Interest::Announcements);
         let (stamp, uses) = self.usage.lock().changes_since(now, request.stamp);
         let leads = self.handle.leadership().is_some();
-        MirrorNews {
+        MirrorReply {
             roster,
             uses,
             stamp,
@@ -361,7 +362,7 @@
         let service = HubService {
             state: state.clone(),
         };
-        spawn(listener.serve(answer_calls!(service.serve()), shutdown.clone())).detach();
+        spawn(listener.serve(connection_handler!(service.serve()), shutdown.clone())).detach();
         spawn(mirror::mirror_other_hubs(state.clone(), shutdown.clone())).detach();
         spawn(relay::relay_demand(state.clone(), shutdown.clone())).detach();
         if let Some(options) = options {
--- a/crates/sequoiawing_hub/src/mirror.rs
+++ b/crates/sequoiawing_hub/src/mirror.rs
@@ -1,7 +1,7 @@
 //! Mirrors the state of the other hubs.
 
 use crate::hub::HubState;
-use sequoiawing_link::{HubClient, MirrorNews, MirrorRequest};
+use sequoiawing_link::{HubClient, MirrorReply, MirrorRequest};
 use sequoiawing_runtime::{Shutdown, sleep, spawn};
 use std::{collections::BTreeSet, net::IpAddr, sync::Arc, time::Duration};
 
@@ -86,7 +86,7 @@
 }
 
 /// Applies an update from another hub.
-fn apply_update(state: &HubState, update: MirrorNews) {
+fn apply_update(state: &HubState, update: MirrorReply) {
     let now = state.now();
     let mut changed = false;
     let mut roster = state.roster.lock();
--- a/crates/sequoiawing_hub/src/service.rs
+++ b/crates/sequoiawing_hub/src/service.rs
@@ -1,8 +1,8 @@
 use crate::hub::HubState;
 use sequoiawing_catalog::Document;
 use sequoiawing_link::{
-    Context, ControlError, GatewayReport, Hub, HubFacts, HubNews, MirrorNews, MirrorRequest,
-    ModelDemand,
+    Context, ControlError, GatewayReport, Hub, HubInfo, MirrorReply, MirrorRequest, ModelDemand,
+    SyncReply,
 };
 use std::sync::Arc;
 
@@ -13,15 +13,15 @@
 }
 
 impl Hub for HubService {
-    async fn sync(self, _: Context, report: GatewayReport) -> HubNews {
+    async fn sync(self, _: Context, report: GatewayReport) -> SyncReply {
         self.state.sync(&report).await
     }
 
-    async fn facts(self, _: Context) -> HubFacts {
+    async fn facts(self, _: Context) -> HubInfo {
         self.state.facts()
     }
 
-    async fn mirror(self, _: Context, request: MirrorRequest) -> MirrorNews {
+    async fn mirror(self, _: Context, request: MirrorRequest) -> MirrorReply {
         self.state.mirror(&request).await
     }
 
--- a/crates/sequoiawing_hub/tests/aggregation.rs
+++ b/crates/sequoiawing_hub/tests/aggregation.rs
@@ -1,7 +1,7 @@
 //! Aggregation of the reports of gateways at hubs.
 
 use sequoiawing_hub::{DemandDeduplicator, UsageAggregator};
-use sequoiawing_link::{DemandBatch, GatewayReport, GatewayUse, ModelDemand};
+use sequoiawing_link::{DemandBatch, GatewayReport, GatewayUsage, ModelDemand};
 use sequoiawing_types::{Name, Time};
 
 fn report(host: &str, incarnation: u64, used: u64) -> GatewayReport {
@@ -14,13 +14,13 @@
 }
 
 /// Returns the usage of a gateway that another hub forwards.
-fn forwarded(host: &str, incarnation: u64, used: u64, age: u64) -> GatewayUse {
-    GatewayUse {
+fn forwarded(host: &str, incarnation: u64, used: u64, age: u64) -> GatewayUsage {
+    GatewayUsage {
         host: Name::from(host),
         incarnation,
         used: vec![(Name::from("daily"), used)],
         age,
-        ..GatewayUse::default()
+        ..GatewayUsage::default()
     }
 }
 
@@ -118,7 +118,7 @@
 
 /// Returns the total usage after direct reports and those that other hubs
 /// forwarded.
-fn merged_total(reports: &[GatewayReport], others: &[GatewayUse]) -> u64 {
+fn merged_total(reports: &[GatewayReport], others: &[GatewayUsage]) -> u64 {
     let mut usage = UsageAggregator::default();
     for report in reports {
         usage.record(Time::from_millis(100), report);
--- a/crates/sequoiawing_link/src/control.rs
+++ b/crates/sequoiawing_link/src/control.rs
@@ -35,7 +35,7 @@
 /// A question for tables that are newer than what the asker holds.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Follow {
+pub struct FollowRequest {
     /// The host that asks.
     pub host: Name,
     /// The revision that the host has in force.
@@ -47,7 +47,7 @@
 /// The tables as routers need them.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Published {
+pub struct FollowReply {
     /// The revision that the controller has applied.
     pub revision: Revision,
     /// What leads the asker to that revision, unless it has it.
@@ -93,7 +93,7 @@
     /// Proposes a command and waits until it is committed and applied.
     async fn propose(command: Command) -> Result<Outcome, ControlError>;
     /// Returns the tables when they are newer than the asker's.
-    async fn follow(question: Follow) -> Published;
+    async fn follow(question: FollowRequest) -> FollowReply;
     /// Returns the tables as of a moment after the call was made.
     async fn read() -> Result<Tables, ControlError>;
     /// Changes the members and waits until the change is committed.
--- a/crates/sequoiawing_link/src/explain.rs
+++ b/crates/sequoiawing_link/src/explain.rs
@@ -5,7 +5,7 @@
 /// A request of which an operator wants to know what would become.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Question {
+pub struct ExplainRequest {
     /// The public part of the key that would come with it.
     pub key: Option<KeyId>,
     /// The customer, when no key is given.
--- a/crates/sequoiawing_link/src/handshake.rs
+++ b/crates/sequoiawing_link/src/handshake.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns the form that both ends understand.
-fn agree(ours: &[u8; HELLO_BYTES], theirs: &[u8; HELLO_BYTES]) -> Format {
+fn negotiate_format(ours: &[u8; HELLO_BYTES], theirs: &[u8; HELLO_BYTES]) -> Format {
     if ours[NONCE_BYTES..] == theirs[NONCE_BYTES..] {
         Format::Binary
     } else {
@@ -72,48 +72,48 @@
 /// Which end of a connection a proof is for, so that a proof cannot be sent
 /// back to the end that made it.
 #[derive(Clone, Copy)]
-enum End {
+enum Role {
     Client,
     Server,
 }
 
 /// Proves the secret to the server, has the server prove it in turn, and
 /// returns the form in which both speak.
-pub(crate) async fn greet(stream: &mut TcpStream, secret: &Secret) -> Result<Format, LinkError> {
+pub(crate) async fn initiate(stream: &mut TcpStream, secret: &Secret) -> Result<Format, LinkError> {
     let ours = hello(RELEASE);
     write(stream, &ours).await?;
     let theirs = read::<HELLO_BYTES>(stream).await?;
-    write(stream, &prove(secret, End::Client, &ours, &theirs)).await?;
+    write(stream, &prove(secret, Role::Client, &ours, &theirs)).await?;
     let proof = read::<PROOF_BYTES>(stream).await?;
-    verify(secret, End::Server, &ours, &theirs, &proof)?;
-    Ok(agree(&ours, &theirs))
+    verify(secret, Role::Server, &ours, &theirs, &proof)?;
+    Ok(negotiate_format(&ours, &theirs))
 }
 
 /// Demands a proof of the secret from a client before giving one, and returns
 /// the form in which both speak.
-pub(crate) async fn receive(stream: &mut TcpStream, secret: &Secret) -> Result<Format, LinkError> {
+pub(crate) async fn accept(stream: &mut TcpStream, secret: &Secret) -> Result<Format, LinkError> {
     let ours = hello(RELEASE);
     let theirs = read::<HELLO_BYTES>(stream).await?;
     write(stream, &ours).await?;
     let proof = read::<PROOF_BYTES>(stream).await?;
-    verify(secret, End::Client, &theirs, &ours, &proof)?;
-    write(stream, &prove(secret, End::Server, &theirs, &ours)).await?;
-    Ok(agree(&ours, &theirs))
+    verify(secret, Role::Client, &theirs, &ours, &proof)?;
+    write(stream, &prove(secret, Role::Server, &theirs, &ours)).await?;
+    Ok(negotiate_format(&ours, &theirs))
 }
 
-fn mac(secret: &Secret, end: End, client: &[u8], server: &[u8]) -> Hmac<Sha256> {
+fn mac(secret: &Secret, role: Role, client: &[u8], server: &[u8]) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(&secret.0).expect("any key length works");
-    mac.update(match end {
-        End::Client => b"sequoiawing client",
-        End::Server => b"sequoiawing server",
+    mac.update(match role {
+        Role::Client => b"sequoiawing client",
+        Role::Server => b"sequoiawing server",
     });
     mac.update(client);
     mac.update(server);
     mac
 }
 
-fn prove(secret: &Secret, end: End, client: &[u8], server: &[u8]) -> Vec<u8> {
-    mac(secret, end, client, server)
+fn prove(secret: &Secret, role: Role, client: &[u8], server: &[u8]) -> Vec<u8> {
+    mac(secret, role, client, server)
         .finalize()
         .into_bytes()
         .to_vec()
@@ -121,12 +121,12 @@
 
 fn verify(
     secret: &Secret,
-    end: End,
+    role: Role,
     client: &[u8],
     server: &[u8],
     proof: &[u8],
 ) -> Result<(), LinkError> {
-    mac(secret, end, client, server)
+    mac(secret, role, client, server)
         .verify_slice(proof)
         .map_err(|_| LinkError::Unauthenticated)
 }
@@ -134,16 +134,16 @@
 async fn read<const N: usize>(stream: &mut TcpStream) -> Result<[u8; N], LinkError> {
     let mut bytes = [0; N];
     let result = stream.read_exact(&mut bytes).await;
-    result.map_err(|e| broken(stream, e))?;
+    result.map_err(|e| connection_error(stream, e))?;
     Ok(bytes)
 }
 
 async fn write(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), LinkError> {
     let result = stream.write_all(bytes).await;
-    result.map_err(|e| broken(stream, e))
+    result.map_err(|e| connection_error(stream, e))
 }
 
-fn broken(stream: &TcpStream, source: io::Error) -> LinkError {
+fn connection_error(stream: &TcpStream, source: io::Error) -> LinkError {
     let address = stream
         .peer_addr()
         .map_or_else(|_| "?".to_owned(), |a| a.to_string());
--- a/crates/sequoiawing_link/src/handshake/tests.rs
+++ b/crates/sequoiawing_link/src/handshake/tests.rs
@@ -1,4 +1,4 @@
-use super::{agree, hello, release};
+use super::{hello, negotiate_format, release};
 use crate::Format;
 
 macro_rules! cases {
@@ -6,8 +6,8 @@
         #[test]
         fn $name() {
             let (ours, theirs) = (hello(release($ours)), hello(release($theirs)));
-            assert_eq!(agree(&ours, &theirs), $format);
-            assert_eq!(agree(&theirs, &ours), $format);
+            assert_eq!(negotiate_format(&ours, &theirs), $format);
+            assert_eq!(negotiate_format(&theirs, &ours), $format);
         }
     )*};
 }
--- a/crates/sequoiawing_link/src/hub.rs
+++ b/crates/sequoiawing_link/src/hub.rs
@@ -95,7 +95,7 @@
 /// What one gateway last told of itself, as hubs pass it on to each other.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct GatewayUse {
+pub struct GatewayUsage {
     /// The gateway's host.
     pub host: Name,
     /// Names its start; a later one is higher.
@@ -127,7 +127,7 @@
 /// What a hub is, as far as it helps gateways to choose among hubs.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct HubFacts {
+pub struct HubInfo {
     /// Its data centre.
     pub centre: Name,
     /// The hosts of all hubs.
@@ -144,11 +144,11 @@
 /// What a hub answers to a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct HubNews {
+pub struct SyncReply {
     /// Names the start of the hub.
     pub epoch: u64,
     /// What the hub is.
-    pub facts: HubFacts,
+    pub facts: HubInfo,
     /// The configuration, if it is newer than the gateway's.
     pub catalog: Option<Arc<Catalog>>,
     /// What is new in the roster.
@@ -187,11 +187,11 @@
 /// What a hub answers to another hub.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct MirrorNews {
+pub struct MirrorReply {
     /// What is new in the roster.
     pub roster: RosterNews,
     /// What gateways told the hub itself.
-    pub uses: Vec<GatewayUse>,
+    pub uses: Vec<GatewayUsage>,
     /// How far that goes.
     pub stamp: u64,
     /// What it has ordered, if its controller leads the log.
@@ -204,11 +204,11 @@
 #[tarpc::service]
 pub trait Hub {
     /// Takes in what a gateway reports and returns what is new to it.
-    async fn sync(report: GatewayReport) -> HubNews;
+    async fn sync(report: GatewayReport) -> SyncReply;
     /// Returns what the hub is.
-    async fn facts() -> HubFacts;
+    async fn facts() -> HubInfo;
     /// Returns what is new to another hub.
-    async fn mirror(request: MirrorRequest) -> MirrorNews;
+    async fn mirror(request: MirrorRequest) -> MirrorReply;
     /// Takes in demand that gateways reported to another hub.
     async fn demand(demand: Vec<ModelDemand>);
     /// Puts a configuration in force unless the present one is as new, and
--- a/crates/sequoiawing_link/src/lib.rs
+++ b/crates/sequoiawing_link/src/lib.rs
@@ -19,16 +19,20 @@
 
 pub use budget::{BudgetBatch, BudgetReplies};
 pub use codec::{Codec, Format};
-pub use control::{Control, ControlClient, ControlError, ControlStatus, Follow, Published};
+pub use control::{
+    Control, ControlClient, ControlError, ControlStatus, FollowReply, FollowRequest,
+};
 pub use error::LinkError;
-pub use explain::{Explanation, Question, Step, Verdict};
+pub use explain::{ExplainRequest, Explanation, Step, Verdict};
 pub use handshake::Secret;
 pub use hub::{
-    DemandBatch, GatewayReport, GatewayUse, Hub, HubClient, HubFacts, HubNews, MirrorNews,
-    MirrorRequest, ModelDemand, OrderedLoads, PlannedLoad,
+    DemandBatch, GatewayReport, GatewayUsage, Hub, HubClient, HubInfo, MirrorReply, MirrorRequest,
+    ModelDemand, OrderedLoads, PlannedLoad, SyncReply,
+};
+pub use peer::{ExchangeReply, Peer, PeerClient, RouterStatus, UpstreamBatch};
+pub use serve::{
+    Connection, ConnectionHandler, LinkListener, Transport, server_channel, spawn_call,
 };
-pub use peer::{Missing, Peer, PeerClient, RouterStatus, UpstreamBatch};
-pub use serve::{Answer, Connection, LinkListener, Transport, channel, spawn_call};
 pub use stub::{Connect, Stub};
 pub use translation::{Translation, Translations};
 
--- a/crates/sequoiawing_link/src/peer.rs
+++ b/crates/sequoiawing_link/src/peer.rs
@@ -1,4 +1,4 @@
-use crate::{BudgetBatch, BudgetReplies, Explanation, Follow, Published, Question};
+use crate::{BudgetBatch, BudgetReplies, ExplainRequest, Explanation, FollowReply, FollowRequest};
 use sequoiawing_cell::{CellReply, CellRequest};
 use sequoiawing_fleet::{Demand, LoadDelta, OrderState, Relayed, Source, Summary, UpstreamState};
 use sequoiawing_tables::{KeyId, Revision};
@@ -26,14 +26,14 @@
 /// What the receiver of an [`UpstreamBatch`] could not use.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Missing {
+pub struct ExchangeReply {
     /// The indexes of loads whose upstream is not known in that version.
     pub indexes: Vec<u64>,
     /// The data centres of which the whole summary is needed.
     pub centres: Vec<Name>,
 }
 
-impl Missing {
+impl ExchangeReply {
     /// Reports whether everything could be used.
     pub fn is_empty(&self) -> bool {
         self.indexes.is_empty() && self.centres.is_empty()
@@ -74,21 +74,21 @@
     async fn recalled(borrower: Name, wait: u64) -> Vec<Name>;
     /// Takes in what another router learnt of upstreams, and returns what must
     /// be sent whole.
-    async fn exchange(batch: UpstreamBatch) -> Missing;
+    async fn exchange(batch: UpstreamBatch) -> ExchangeReply;
     /// Asks the cell leader for a model.
     async fn demand(demands: Vec<Demand>) -> Vec<OrderState>;
     /// Answers another member of the data centre's cell.
     async fn cell(request: CellRequest) -> Option<CellReply>;
     /// Returns the tables when they are newer than the asker's; routers relay
     /// them, so that not all ask the controllers.
-    async fn follow(question: Follow) -> Published;
+    async fn follow(question: FollowRequest) -> FollowReply;
     /// Withdraws keys at once, without waiting for the log, and returns the
     /// withdrawn keys that the router knows in all.
     async fn withdraw(keys: Vec<KeyId>) -> usize;
     /// Returns the newest announcement of each upstream that is alive.
     async fn upstreams() -> Vec<UpstreamState>;
     /// Returns what would become of a request, without sending one.
-    async fn explain(question: Question) -> Explanation;
+    async fn explain(question: ExplainRequest) -> Explanation;
     /// Makes the health check fail, so that the platform's balancer sends no
     /// more callers, or succeed again; requests are still served.
     async fn drain(draining: bool) -> RouterStatus;
--- a/crates/sequoiawing_link/src/serve.rs
+++ b/crates/sequoiawing_link/src/serve.rs
@@ -12,14 +12,14 @@
 };
 
 /// How long a new connection may take to prove the secret.
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(3);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long the listener waits after the operating system refused a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The largest message between processes, in bytes; a snapshot of the tables
 /// at the size in docs/CAPACITY.md fits.
-pub(crate) const MAX_FRAME: usize = 256 * 1024 * 1024;
+pub(crate) const MAX_FRAME_BYTES: usize = 256 * 1024 * 1024;
 
 /// An authenticated connection, and the form in which both ends speak.
 #[derive(Debug)]
@@ -37,16 +37,16 @@
     O: Serialize,
 {
     let mut codec = LengthDelimitedCodec::new();
-    codec.set_max_frame_length(MAX_FRAME);
+    codec.set_max_frame_length(MAX_FRAME_BYTES);
     let frames = Framed::new(connection.stream.compat(), codec);
     tarpc::serde_transport::new(frames, Codec::new(connection.format))
 }
 
 /// Answers the calls of one authenticated connection until it closes.
-pub type Answer = Box<dyn Fn(Connection) -> BoxFuture<'static, ()> + Send + Sync>;
+pub type ConnectionHandler = Box<dyn Fn(Connection) -> BoxFuture<'static, ()> + Send + Sync>;
 
 /// Returns a server channel over an authenticated connection.
-pub fn channel<I, O>(
+pub fn server_channel<I, O>(
     connection: Connection,
 ) -> BaseChannel<I, O, Transport<ClientMessage<I>, Response<O>>>
 where
@@ -64,17 +64,17 @@
     spawn(Compat::new(call)).detach();
 }
 
-/// Makes the [`Answer`] of a service that `tarpc` generated.
+/// Makes the [`ConnectionHandler`] of a service that `tarpc` generated.
 ///
 /// It is a macro because only at a concrete service type can the compiler see
 /// that the generated futures may move between threads.
 #[macro_export]
-macro_rules! answer_calls {
+macro_rules! connection_handler {
     ($service:expr) => {{
         let service = $service;
-        let answer: $crate::Answer = Box::new(move |connection| {
+        let answer: $crate::ConnectionHandler = Box::new(move |connection| {
             use $crate::{Channel, StreamExt};
-            let calls = $crate::channel(connection).execute(service.clone());
+            let calls = $crate::server_channel(connection).execute(service.clone());
             Box::pin(calls.for_each(|call| async move { $crate::spawn_call(call) }))
         });
         answer
@@ -110,13 +110,13 @@
 
     /// Answers calls until shutdown starts.
     ///
-    /// `answer` comes from [`answer_calls!`](crate::answer_calls).
-    pub async fn serve(self, answer: Answer, shutdown: Shutdown) {
+    /// `answer` comes from [`connection_handler!`](crate::connection_handler).
+    pub async fn serve(self, answer: ConnectionHandler, shutdown: Shutdown) {
         let secret = self.secret;
         let answer = Arc::new(answer);
         while let Some(accepted) = shutdown.or(self.listener.accept()).await {
             let Ok((stream, _)) = accepted else {
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let secret = secret.clone();
@@ -136,11 +136,11 @@
 async fn serve_connection(
     mut stream: TcpStream,
     secret: &Secret,
-    answer: &Answer,
+    answer: &ConnectionHandler,
 ) -> Result<(), LinkError> {
     stream.set_nodelay(true).ok();
-    let greeted = timeout(HANDSHAKE_LIMIT, handshake::receive(&mut stream, secret)).await;
-    let format = greeted.ok_or(LinkError::Unauthenticated)??;
+    let negotiated = timeout(HANDSHAKE_TIMEOUT, handshake::accept(&mut stream, secret)).await;
+    let format = negotiated.ok_or(LinkError::Unauthenticated)??;
     answer(Connection { stream, format }).await;
     Ok(())
 }
--- a/crates/sequoiawing_link/src/stub.rs
+++ b/crates/sequoiawing_link/src/stub.rs
@@ -17,7 +17,7 @@
 use tarpc::{client::RpcError, context, context::Context};
 
 /// How long connecting and proving the secret may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A generated client that can be built over an authenticated connection.
 pub trait Connect: Clone + Send + Sync + 'static {
@@ -97,7 +97,7 @@
             millis: limit.as_millis(),
         };
         let work = async {
-            let client = self.connected().await?;
+            let client = self.get_or_connect().await?;
             let mut context = context::current();
             context.deadline = Instant::now() + limit;
             let result = Compat::new(Box::pin(make(client, context))).await;
@@ -118,26 +118,27 @@
         Err(failed)
     }
 
-    async fn connected(&self) -> Result<C, LinkError> {
+    async fn get_or_connect(&self) -> Result<C, LinkError> {
         let mut client = self.client.lock().await;
         if let Some(connected) = &*client {
             return Ok(connected.clone());
         }
-        let connecting = timeout(CONNECT_LIMIT, self.connect()).await;
-        let connected = connecting.ok_or_else(|| self.broken(io::ErrorKind::TimedOut.into()))??;
+        let connecting = timeout(CONNECT_TIMEOUT, self.connect()).await;
+        let connected =
+            connecting.ok_or_else(|| self.connection_error(io::ErrorKind::TimedOut.into()))??;
         *client = Some(connected.clone());
         Ok(connected)
     }
 
     async fn connect(&self) -> Result<C, LinkError> {
         let connecting = TcpStream::connect(self.address).await;
-        let mut stream = connecting.map_err(|e| self.broken(e))?;
+        let mut stream = connecting.map_err(|e| self.connection_error(e))?;
         stream.set_nodelay(true).ok();
-        let format = handshake::greet(&mut stream, &self.secret).await?;
+        let format = handshake::initiate(&mut stream, &self.secret).await?;
         Ok(C::start(Connection { stream, format }))
     }
 
-    fn broken(&self, source: io::Error) -> LinkError {
+    fn connection_error(&self, source: io::Error) -> LinkError {
         let address = self.address.to_string();
         LinkError::Connection { address, source }
     }
--- a/crates/sequoiawing_link/src/translation.rs
+++ b/crates/sequoiawing_link/src/translation.rs
@@ -25,7 +25,7 @@
     }
 
     /// Returns where to connect to reach an address.
-    pub fn reach(&self, address: SocketAddr) -> SocketAddr {
+    pub fn translate(&self, address: SocketAddr) -> SocketAddr {
         self.0.get(&address).copied().unwrap_or(address)
     }
 }
--- a/crates/sequoiawing_link/tests/codec.rs
+++ b/crates/sequoiawing_link/tests/codec.rs
@@ -1,7 +1,9 @@
 //! Writes and reads messages in both forms.
 
 use sequoiawing_fleet::{LoadDelta, Publisher, Rank, Relayed, Source, UpstreamState};
-use sequoiawing_link::{BudgetReplies, ControlError, Follow, Format, Published, UpstreamBatch};
+use sequoiawing_link::{
+    BudgetReplies, ControlError, FollowReply, FollowRequest, Format, UpstreamBatch,
+};
 use sequoiawing_tables::{Change, Command, Customer, Key, KeyId, Outcome, Revision, Tables};
 use sequoiawing_types::{Findings, Name, Ran, RequestId};
 use serde::{Serialize, de::DeserializeOwned};
@@ -61,7 +63,7 @@
     }
 }
 
-fn published() -> Published {
+fn published() -> FollowReply {
     let mut tables = Tables::default();
     tables.apply(edit());
     tables.apply(Command::Edit {
@@ -69,7 +71,7 @@
         base: None,
         changes: vec![Change::Drain(Name::from("runner"))],
     });
-    Published {
+    FollowReply {
         revision: tables.revision,
         update: tables.update_from(Revision(0)),
         age: 5,
@@ -95,7 +97,7 @@
     a_batch_of_upstreams: batch();
     an_edit: edit();
     a_change_for_a_follower: published();
-    a_question_for_tables: Follow { host: Name::from("entry-1"), ..Follow::default() };
+    a_question_for_tables: FollowRequest { host: Name::from("entry-1"), ..FollowRequest::default() };
     a_refused_edit: Ok::<_, ControlError>(invalid());
     an_error: Err::<Outcome, _>(ControlError::NotLeader { leader: Some(([127, 0, 0, 1], 1).into()) });
     no_budgets: BudgetReplies::None;
@@ -105,7 +107,7 @@
 /// Between releases fields come and go.
 #[test]
 fn json_passes_over_fields_that_one_side_does_not_know() {
-    let read: Follow = Format::Json
+    let read: FollowRequest = Format::Json
         .decode(br#"{"host":"entry-1","later":true}"#)
         .expect("it can be read");
     assert_eq!(read.host, Name::from("entry-1"));
--- a/crates/sequoiawing_router/src/attempt.rs
+++ b/crates/sequoiawing_router/src/attempt.rs
@@ -206,7 +206,7 @@
             assignment.mark(request.headers_mut());
             request
         };
-        let address = self.state.translations.reach(assignment.address);
+        let address = self.state.translations.translate(assignment.address);
         let sent = self.exchange(address, template.repeatable, build);
         let answer = match timeout(left, sent).await {
             Some(Ok(answer)) => answer,
--- a/crates/sequoiawing_router/src/controllers/follow.rs
+++ b/crates/sequoiawing_router/src/controllers/follow.rs
@@ -1,6 +1,6 @@
 use crate::{Controller, RouterState, saved_tables::SavedTables};
 use parking_lot::Mutex;
-use sequoiawing_link::{Follow, LinkError, Published};
+use sequoiawing_link::{FollowReply, FollowRequest, LinkError};
 use sequoiawing_runtime::{Shutdown, sleep};
 use sequoiawing_tables::Tables;
 use sequoiawing_types::Name;
@@ -122,12 +122,12 @@
         members.take(RELAYS).map(|h| h.host.clone()).collect()
     }
 
-    async fn ask(&self, source: Source) -> Result<Published, LinkError> {
+    async fn ask(&self, source: Source) -> Result<FollowReply, LinkError> {
         let wait = match source {
             Source::Controller(_) | Source::Relay(_) => self.poll_wait(),
             Source::Neighbour(_) => Duration::ZERO,
         };
-        let question = Follow {
+        let question = FollowRequest {
             host: self.state.settings.host.clone(),
             revision: self.state.tables.get().revision,
             wait: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
@@ -142,7 +142,7 @@
             Source::Relay(i) | Source::Neighbour(i) => {
                 let peers = self.state.peers.all();
                 let Some(peer) = peers.get(i) else {
-                    return Ok(Published::default());
+                    return Ok(FollowReply::default());
                 };
                 let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
                     client.follow(context, question).await
@@ -152,14 +152,14 @@
         }
     }
 
-    fn take(&self, published: Published, since: Duration) {
+    fn take(&self, published: FollowReply, since: Duration) {
         let age = Duration::from_millis(published.age);
         self.state.confirm_tables(published.revision, age, since);
         let Some(update) = published.update else {
             return;
         };
         let mut tables = Tables::clone(&self.state.tables.get());
-        tables.update(update.clone());
+        tables.apply_update(update.clone());
         let tables = Arc::new(tables);
         if self.state.apply_tables(tables.clone()) {
             self.saved.lock().save(&tables, &update);
@@ -167,7 +167,7 @@
     }
 }
 
-fn is_fresh(published: &Published) -> bool {
+fn is_fresh(published: &FollowReply) -> bool {
     Duration::from_millis(published.age) <= MAX_AGE
 }
 
--- a/crates/sequoiawing_router/src/controllers/lease.rs
+++ b/crates/sequoiawing_router/src/controllers/lease.rs
@@ -27,7 +27,7 @@
     fn observe(&self) {
         let tables = self.state.tables.get();
         let centre = &self.state.settings.centre;
-        let epoch = tables.cell(centre).epoch;
+        let epoch = tables.cell_epoch(centre).epoch;
         let members: BTreeSet<Name> = tables.members(centre).map(|h| h.host.clone()).collect();
         self.state.cell_event(CellEvent::Members { epoch, members });
         let fence = {
@@ -105,7 +105,7 @@
         let state = self.clone();
         spawn(async move {
             let centre = state.settings.centre.clone();
-            if state.tables.get().cell(&centre).settled {
+            if state.tables.get().cell_epoch(&centre).settled {
                 return;
             }
             while state.lease().is_some() {
--- a/crates/sequoiawing_router/src/controllers/placement.rs
+++ b/crates/sequoiawing_router/src/controllers/placement.rs
@@ -201,7 +201,7 @@
         let Some(address) = address else {
             return;
         };
-        let address = self.state.translations.reach(address);
+        let address = self.state.translations.translate(address);
         log::info!(target: "placement", "Sending {upstream} the order {:?}.", order.kind);
         let state = self.state.clone();
         let events = self.events.clone();
--- a/crates/sequoiawing_router/src/controllers/relay.rs
+++ b/crates/sequoiawing_router/src/controllers/relay.rs
@@ -1,6 +1,6 @@
 use crate::{Controller, RouterState, controllers::summarise::Speaker, peers::PeerLink};
 use sequoiawing_fleet::{LoadDelta, Relayed, Summary};
-use sequoiawing_link::{Missing, UpstreamBatch};
+use sequoiawing_link::{ExchangeReply, UpstreamBatch};
 use sequoiawing_runtime::{Shutdown, sleep, spawn};
 use sequoiawing_types::{Name, Time};
 use std::{
@@ -175,7 +175,7 @@
     relayed
 }
 
-async fn exchange(peer: &PeerLink, batch: UpstreamBatch) -> Option<Missing> {
+async fn exchange(peer: &PeerLink, batch: UpstreamBatch) -> Option<ExchangeReply> {
     let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
         client.exchange(context, batch).await
     });
@@ -190,7 +190,7 @@
 
 impl RouterState {
     /// Returns a batch with what another router asked to be sent whole.
-    fn whole(&self, missing: &Missing, spread: bool) -> UpstreamBatch {
+    fn whole(&self, missing: &ExchangeReply, spread: bool) -> UpstreamBatch {
         let registry = self.registry.lock();
         let states = missing.indexes.iter();
         let states = states.filter_map(|index| registry.indexed(*index));
--- a/crates/sequoiawing_router/src/controllers/take_in.rs
+++ b/crates/sequoiawing_router/src/controllers/take_in.rs
@@ -2,7 +2,7 @@
 
 use crate::RouterState;
 use sequoiawing_fleet::{Applied, Renewal, Source, Summary, UpstreamState};
-use sequoiawing_link::{Missing, UpstreamBatch};
+use sequoiawing_link::{ExchangeReply, UpstreamBatch};
 use sequoiawing_types::{Name, Time};
 
 impl RouterState {
@@ -56,9 +56,9 @@
     }
 
     /// Takes in a batch of another router and returns what must be known whole.
-    pub(crate) fn take_batch(&self, batch: UpstreamBatch) -> Missing {
+    pub(crate) fn take_batch(&self, batch: UpstreamBatch) -> ExchangeReply {
         let now = self.now();
-        let mut missing = Missing::default();
+        let mut missing = ExchangeReply::default();
         if !batch.spread {
             self.heard.lock().insert(batch.source.host.clone(), now);
         }
--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -11,8 +11,8 @@
 use sequoiawing_fleet::{Demand, OrderState, UpstreamState};
 use sequoiawing_http::{Body, Handler, HttpListener, HttpSettings, from_bytes};
 use sequoiawing_link::{
-    BudgetBatch, BudgetReplies, Context, Explanation, Follow, LinkListener, Missing, Peer,
-    Published, Question, RouterStatus, Secret, UpstreamBatch, answer_calls,
+    BudgetBatch, BudgetReplies, Context, ExchangeReply, ExplainRequest, Explanation, FollowReply,
+    FollowRequest, LinkListener, Peer, RouterStatus, Secret, UpstreamBatch, connection_handler,
 };
 use sequoiawing_runtime::{Shutdown, Task, sleep, spawn, timeout};
 use sequoiawing_tables::{KeyId, Tables};
@@ -118,7 +118,7 @@
         };
         let callers_task = spawn(callers.serve(Arc::new(callers_handler), closing.clone()));
         let upstreams_task = spawn(upstreams.serve(Arc::new(upstream_handler), shutdown.clone()));
-        spawn(link.serve(answer_calls!(service.serve()), link_shutdown)).detach();
+        spawn(link.serve(connection_handler!(service.serve()), link_shutdown)).detach();
         log::info!(target: "router", "Serving callers at {callers_at}.");
         Ok(Self {
             state,
@@ -332,7 +332,7 @@
 }
 
 impl Peer for PeerService {
-    async fn exchange(self, _: Context, batch: UpstreamBatch) -> Missing {
+    async fn exchange(self, _: Context, batch: UpstreamBatch) -> ExchangeReply {
         self.state.take_batch(batch)
     }
 
@@ -362,13 +362,13 @@
         self.state.cell_request(request)
     }
 
-    async fn follow(self, _: Context, question: Follow) -> Published {
+    async fn follow(self, _: Context, question: FollowRequest) -> FollowReply {
         let wait = Duration::from_millis(question.wait);
         let changed = |t: &Arc<Tables>| t.revision > question.revision;
         timeout(wait, self.state.tables.wait_until(changed)).await;
         let tables = self.state.tables.get();
         let age = self.state.tables_age().as_millis();
-        Published {
+        FollowReply {
             revision: tables.revision,
             update: tables.update_from(question.revision),
             age: u64::try_from(age).unwrap_or(u64::MAX),
@@ -384,7 +384,7 @@
         registry.iter().map(|s| UpstreamState::clone(s)).collect()
     }
 
-    async fn explain(self, _: Context, question: Question) -> Explanation {
+    async fn explain(self, _: Context, question: ExplainRequest) -> Explanation {
         self.state.explain(&question)
     }
 
--- a/crates/sequoiawing_router/src/explain.rs
+++ b/crates/sequoiawing_router/src/explain.rs
@@ -1,6 +1,6 @@
 use crate::RouterState;
 use sequoiawing_fleet::UpstreamState;
-use sequoiawing_link::{Explanation, Question, Verdict};
+use sequoiawing_link::{ExplainRequest, Explanation, Verdict};
 use sequoiawing_tables::{Access, Customer, Pool, PoolKind, Route, Tables};
 use sequoiawing_types::Name;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 impl RouterState {
     /// Tells an operator what would become of a request, by the tables in force
     /// and the upstreams that are known now. Nothing is sent or reserved.
-    pub(crate) fn explain(&self, question: &Question) -> Explanation {
+    pub(crate) fn explain(&self, question: &ExplainRequest) -> Explanation {
         let tables = self.tables.get();
         let mut steps = Explanation {
             host: self.settings.host.clone(),
@@ -25,7 +25,7 @@
     fn follow(
         &self,
         tables: &Tables,
-        question: &Question,
+        question: &ExplainRequest,
         steps: &mut Explanation,
     ) -> Result<(), Decided> {
         let customer = self.identify(tables, question, steps)?;
@@ -45,7 +45,7 @@
     fn identify<'t>(
         &self,
         tables: &'t Tables,
-        question: &Question,
+        question: &ExplainRequest,
         steps: &mut Explanation,
     ) -> Result<Option<&'t Customer>, Decided> {
         let part = "authenticate";
@@ -125,7 +125,7 @@
 
 fn select<'t>(
     tables: &'t Tables,
-    question: &Question,
+    question: &ExplainRequest,
     customer: Option<&Customer>,
     steps: &mut Explanation,
 ) -> Result<&'t Route, Decided> {
@@ -162,7 +162,7 @@
 fn find_model(
     pool: &Pool,
     route: &Route,
-    question: &Question,
+    question: &ExplainRequest,
     steps: &mut Explanation,
 ) -> Result<(Option<Name>, Option<Name>), Decided> {
     let part = "model";
--- a/crates/sequoiawing_router/src/filters/authenticate.rs
+++ b/crates/sequoiawing_router/src/filters/authenticate.rs
@@ -22,7 +22,7 @@
         let tables = self.state.tables.get();
         let withdrawn = self.state.withdrawn.get().contains(&shown.id);
         let key = tables.keys.get(&shown.id);
-        let Some(key) = key.filter(|k| !withdrawn && k.admits(&shown.secret)) else {
+        let Some(key) = key.filter(|k| !withdrawn && k.matches_secret(&shown.secret)) else {
             return Credential::Invalid;
         };
         if !self.state.confirms_keys() {
--- a/crates/sequoiawing_router/src/peers.rs
+++ b/crates/sequoiawing_router/src/peers.rs
@@ -37,7 +37,7 @@
         let links = settings.iter().map(|p| PeerLink {
             host: p.host.clone(),
             centre: p.centre.clone(),
-            stub: Stub::new(translations.reach(p.address), secret.clone()),
+            stub: Stub::new(translations.translate(p.address), secret.clone()),
         });
         let links = RwLock::new(Arc::new(links.collect()));
         Self {
@@ -71,7 +71,7 @@
             .collect();
         let others = tables.hosts.values().filter(|h| h.host != self.host);
         let links = others.map(|h| {
-            let address = self.translations.reach(h.address);
+            let address = self.translations.translate(h.address);
             PeerLink {
                 host: h.host.clone(),
                 centre: h.centre.clone(),
--- a/crates/sequoiawing_router/src/saved_tables.rs
+++ b/crates/sequoiawing_router/src/saved_tables.rs
@@ -110,7 +110,7 @@
     };
     let mut rest = &changes[..];
     while let Some((update, after)) = frame(rest) {
-        tables.update(update);
+        tables.apply_update(update);
         rest = after;
     }
     if !rest.is_empty() {
--- a/crates/sequoiawing_router/src/saved_tables/tests.rs
+++ b/crates/sequoiawing_router/src/saved_tables/tests.rs
@@ -59,7 +59,7 @@
     let (mut saved, _) = folder.open();
     let mut tables = Tables::default();
     change(&mut tables, "daily");
-    saved.save(&tables, &Update::Whole(Box::new(tables.clone())));
+    saved.save(&tables, &Update::Full(Box::new(tables.clone())));
     let mut all = vec![tables.clone()];
     for i in 0..count {
         let update = change(&mut tables, &format!("customer-{i}"));
@@ -134,7 +134,7 @@
         let former = fs::read(folder.changes()).expect("it is there");
         let (mut saved, _) = folder.open();
         let tables = all.pop().expect("it was saved");
-        saved.save(&tables, &Update::Whole(Box::new(tables.clone())));
+        saved.save(&tables, &Update::Full(Box::new(tables.clone())));
         fs::write(folder.changes(), former).expect("it is written");
         let (_, loaded) = folder.open();
         assert_eq!(loaded.map(|t| t.published()), Some(tables.published()));
--- a/crates/sequoiawing_router/src/state.rs
+++ b/crates/sequoiawing_router/src/state.rs
@@ -90,7 +90,7 @@
         let secret = Secret::from(settings.secret.as_str());
         let control = settings.controllers.iter();
         let translations = Translations::new(&settings.translations);
-        let control = control.map(|a| Stub::new(translations.reach(*a), secret.clone()));
+        let control = control.map(|a| Stub::new(translations.translate(*a), secret.clone()));
         let control = control.collect();
         let peers = Peers::new(
             settings.host.clone(),
@@ -254,7 +254,7 @@
     /// Takes the keys out of force that the tables name, and keeps them once
     /// when no others are known.
     fn share_withdrawn(&self, tables: &Tables) {
-        let named = tables.withdrawn.handle();
+        let named = tables.withdrawn.to_arc();
         {
             let _guard = self.withdrawing.lock();
             let known = self.withdrawn.get();
--- a/crates/sequoiawing_tables/src/allotment.rs
+++ b/crates/sequoiawing_tables/src/allotment.rs
@@ -35,7 +35,7 @@
 
     /// Takes away what a data centre holds that has no hosts any more. What its
     /// former leaders asked for still counts as older than what comes.
-    pub(crate) fn forfeit(&mut self, centre: &Name) {
+    pub(crate) fn revoke(&mut self, centre: &Name) {
         if let Some(entry) = self.0.get_mut(centre) {
             entry.count = 0;
         }
--- a/crates/sequoiawing_tables/src/command.rs
+++ b/crates/sequoiawing_tables/src/command.rs
@@ -90,7 +90,7 @@
     /// is ahead must not let the claims of others expire, nor one that is behind
     /// its own.
     #[must_use]
-    pub fn stamped(mut self, clock: u64) -> Self {
+    pub fn with_leader_clock(mut self, clock: u64) -> Self {
         if let Self::Claim { claim, now, .. } = &mut self {
             let shift = |time: u64| clock.saturating_add(time.saturating_sub(*now));
             claim.until = shift(claim.until);
--- a/crates/sequoiawing_tables/src/key.rs
+++ b/crates/sequoiawing_tables/src/key.rs
@@ -42,7 +42,7 @@
 impl Key {
     /// Reports whether `secret` belongs to the key, in a time that does not
     /// depend on where the hashes differ.
-    pub fn admits(&self, secret: &str) -> bool {
+    pub fn matches_secret(&self, secret: &str) -> bool {
         let presented = hash_secret(secret);
         presented.as_bytes().ct_eq(self.hash.as_bytes()).into()
     }
@@ -81,7 +81,7 @@
     }
 
     /// Returns what the tables keep of the key.
-    pub fn at_rest(&self, customer: Name) -> Key {
+    pub fn to_stored_key(&self, customer: Name) -> Key {
         Key {
             id: self.id.clone(),
             customer,
--- a/crates/sequoiawing_tables/src/membership.rs
+++ b/crates/sequoiawing_tables/src/membership.rs
@@ -8,7 +8,7 @@
     }
 
     /// Returns how far the membership of a data centre's cell has come.
-    pub fn cell(&self, centre: &Name) -> CellEpoch {
+    pub fn cell_epoch(&self, centre: &Name) -> CellEpoch {
         self.cells.get(centre).copied().unwrap_or_default()
     }
 
@@ -27,7 +27,7 @@
                 other => other,
             };
         }
-        if self.is_changing(&joining.centre) {
+        if self.is_settling(&joining.centre) {
             return Outcome::Unsettled(joining.centre);
         }
         self.commit(vec![Change::PutHost(joining)])
@@ -46,19 +46,19 @@
         };
         let centre = known.centre.clone();
         let is_last = self.members(&centre).count() == 1;
-        if !dead && (is_last || self.is_changing(&centre)) {
+        if !dead && (is_last || self.is_settling(&centre)) {
             return Outcome::Unsettled(centre);
         }
         let outcome = self.commit(vec![Change::DeleteHost(host.clone())]);
         if is_last {
-            self.forfeit(&centre);
+            self.revoke_allotments(&centre);
         }
         outcome
     }
 
     /// Notes that a leader held its lease by a majority of the epoch.
     pub(crate) fn settle_cell(&mut self, centre: Name, epoch: u64) -> Outcome {
-        let cell = self.cell(&centre);
+        let cell = self.cell_epoch(&centre);
         if cell.settled || cell.epoch != epoch {
             return Outcome::Accepted(self.revision);
         }
@@ -66,7 +66,7 @@
     }
 
     pub(crate) fn put_host(&mut self, host: RouterHost) {
-        self.advance(&host.centre);
+        self.advance_epoch(&host.centre);
         self.hosts.insert(host.host.clone(), host);
     }
 
@@ -74,7 +74,7 @@
         let Some(removed) = self.hosts.remove(host) else {
             return false;
         };
-        self.advance(&removed.centre);
+        self.advance_epoch(&removed.centre);
         true
     }
 
@@ -83,15 +83,15 @@
         self.cells.insert(centre, CellEpoch { epoch, settled });
     }
 
-    fn advance(&mut self, centre: &Name) {
+    fn advance_epoch(&mut self, centre: &Name) {
         let cell = self.cells.entry(centre.clone()).or_default();
         cell.epoch += 1;
         cell.settled = false;
     }
 
     /// Reports whether the cell has members whose last change has not settled.
-    fn is_changing(&self, centre: &Name) -> bool {
+    fn is_settling(&self, centre: &Name) -> bool {
         let has_members = self.members(centre).next().is_some();
-        has_members && !self.cell(centre).settled
+        has_members && !self.cell_epoch(centre).settled
     }
 }
--- a/crates/sequoiawing_tables/src/shared.rs
+++ b/crates/sequoiawing_tables/src/shared.rs
@@ -14,7 +14,7 @@
 
 impl<T> Shared<T> {
     /// Returns the part for those who keep it longer than the tables.
-    pub fn handle(&self) -> Arc<T> {
+    pub fn to_arc(&self) -> Arc<T> {
         self.0.clone()
     }
 }
--- a/crates/sequoiawing_tables/src/tables.rs
+++ b/crates/sequoiawing_tables/src/tables.rs
@@ -26,10 +26,10 @@
 }
 
 /// How many edits keep their outcome for a resend.
-const REMEMBERED_EDITS: usize = 4_096;
+const MAX_RECENT_EDITS: usize = 4_096;
 
 /// How many revisions a follower may be behind and still get the changes alone.
-const REMEMBERED_REVISIONS: usize = 512;
+const MAX_RECENT_REVISIONS: usize = 512;
 
 /// The replicated state behind all routers.
 ///
@@ -83,7 +83,8 @@
         revisions: Vec<Arc<[Change]>>,
     },
     /// The whole tables, for a follower that is too far behind.
-    Whole(Box<Tables>),
+    #[serde(rename = "whole")]
+    Full(Box<Tables>),
 }
 
 impl Tables {
@@ -110,7 +111,9 @@
                 let allotments = self.allotments.entry((pool, model)).or_default();
                 Outcome::Allotted(allotments.set(centre, (term, serial), want, limit))
             }
-            Command::MarkBudgets { term, marks } => Outcome::Marked(self.mark_budgets(term, marks)),
+            Command::MarkBudgets { term, marks } => {
+                Outcome::Marked(self.set_watermarks(term, marks))
+            }
             Command::Replace(document) => self.replace(document),
             Command::Claim { id, claim, now } => self.claim(id, claim, now),
             Command::Settle { id, attempt, state } => self.settle(&id, &attempt, state),
@@ -187,7 +190,7 @@
         }
         let outcome = self.try_edit(base, changes);
         self.edits.push_back((request, outcome.clone()));
-        if self.edits.len() > REMEMBERED_EDITS {
+        if self.edits.len() > MAX_RECENT_EDITS {
             self.edits.pop_front();
         }
         outcome
@@ -208,7 +211,7 @@
                 );
                 continue;
             }
-            next.change(change.clone(), &mut findings);
+            next.apply_change(change.clone(), &mut findings);
         }
         findings.extend(next.check());
         if !findings.is_empty() {
@@ -225,12 +228,12 @@
         let changes = changes.into();
         let mut findings = Findings::default();
         for change in changes.iter() {
-            self.change(change.clone(), &mut findings);
+            self.apply_change(change.clone(), &mut findings);
         }
         debug_assert!(findings.is_empty(), "the changes were checked: {findings}");
         self.revision = Revision(self.revision.0 + 1);
         self.recent.push_back(changes);
-        if self.recent.len() > REMEMBERED_REVISIONS {
+        if self.recent.len() > MAX_RECENT_REVISIONS {
             self.recent.pop_front();
         }
         Outcome::Accepted(self.revision)
@@ -243,7 +246,7 @@
         let remembered = self.recent.len();
         let behind = usize::try_from(behind).ok().filter(|b| *b <= remembered);
         let Some(behind) = behind else {
-            return Some(Update::Whole(Box::new(self.published())));
+            return Some(Update::Full(Box::new(self.published())));
         };
         let newer = self.recent.iter().skip(remembered - behind);
         Some(Update::Changes {
@@ -256,10 +259,10 @@
     ///
     /// Whole tables that are not newer, and changes of another revision than
     /// this one, change nothing.
-    pub fn update(&mut self, update: Update) {
+    pub fn apply_update(&mut self, update: Update) {
         match update {
-            Update::Whole(tables) if tables.revision > self.revision => *self = *tables,
-            Update::Whole(_) => {}
+            Update::Full(tables) if tables.revision > self.revision => *self = *tables,
+            Update::Full(_) => {}
             Update::Changes { base, .. } if base != self.revision => {}
             Update::Changes { revisions, .. } => {
                 for changes in revisions {
@@ -269,7 +272,7 @@
         }
     }
 
-    fn change(&mut self, change: Change, findings: &mut Findings) {
+    fn apply_change(&mut self, change: Change, findings: &mut Findings) {
         match change {
             Change::PutCustomer(c) => {
                 self.customers.insert(c.name.clone(), c);
@@ -282,15 +285,15 @@
             }
             Change::DeleteCustomer(name) => {
                 let removed = self.customers.remove(&name);
-                require(removed.is_some(), findings, "customers", &name);
+                check_removed(removed.is_some(), findings, "customers", &name);
             }
             Change::DeletePool(name) => {
                 let removed = self.pools.remove(&name);
-                require(removed.is_some(), findings, "pools", &name);
+                check_removed(removed.is_some(), findings, "pools", &name);
             }
             Change::DeleteRoute(name) => {
                 let removed = self.routes.remove(&name);
-                require(removed.is_some(), findings, "routes", &name);
+                check_removed(removed.is_some(), findings, "routes", &name);
             }
             Change::PutStore(store) => self.store = store,
             Change::GrantKey(key) => self.grant_key(key, findings),
@@ -307,7 +310,7 @@
             Change::PutHost(host) => self.put_host(host),
             Change::DeleteHost(host) => {
                 let removed = self.delete_host(&host);
-                require(removed, findings, "hosts", &host);
+                check_removed(removed, findings, "hosts", &host);
             }
             Change::SettleCell { centre, epoch } => self.mark_settled(centre, epoch),
             Change::PutCatalog(catalog) => self.catalog = catalog,
@@ -329,17 +332,17 @@
     }
 
     /// Counts the claims that are remembered.
-    pub fn claims(&self) -> usize {
+    pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
     /// Returns the watermarks of the budgets that were ever lent from.
-    pub fn budgets(&self) -> &BTreeMap<Name, Watermark> {
+    pub fn watermarks(&self) -> &BTreeMap<Name, Watermark> {
         &self.budgets
     }
 
     /// Sets watermarks, unless a later owner has.
-    fn mark_budgets(&mut self, term: u64, marks: BTreeMap<Name, Watermark>) -> bool {
+    fn set_watermarks(&mut self, term: u64, marks: BTreeMap<Name, Watermark>) -> bool {
         if term < self.budget_term {
             return false;
         }
@@ -349,9 +352,9 @@
     }
 
     /// Takes away all replicas of a data centre.
-    pub(crate) fn forfeit(&mut self, centre: &Name) {
+    pub(crate) fn revoke_allotments(&mut self, centre: &Name) {
         for allotments in self.allotments.values_mut() {
-            allotments.forfeit(centre);
+            allotments.revoke(centre);
         }
     }
 
@@ -384,7 +387,7 @@
     }
 }
 
-fn require(removed: bool, findings: &mut Findings, table: &str, name: &Name) {
+fn check_removed(removed: bool, findings: &mut Findings, table: &str, name: &Name) {
     if !removed {
         findings.push(format!("{table}.{name}"), "does not exist");
     }
--- a/crates/sequoiawing_tables/tests/claims.rs
+++ b/crates/sequoiawing_tables/tests/claims.rs
@@ -44,7 +44,7 @@
     }
     assert!(!is_claimed(&mut tables, claim("k70", "b", 120)));
     assert!(is_claimed(&mut tables, claim("k20", "b", 120)));
-    assert_eq!(tables.claims(), 40, "39 that last, and the new one");
+    assert_eq!(tables.claim_count(), 40, "39 that last, and the new one");
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let mut read: Tables = serde_json::from_str(&json).expect("they are read back");
     assert_eq!(read, tables);
     assert!(is_claimed(&mut read, claim("new", "b", 70)));
-    assert_eq!(read.claims(), 2, "one has expired");
+    assert_eq!(read.claim_count(), 2, "one has expired");
     assert!(!is_claimed(&mut read, claim("late", "b", 70)));
 }
 
@@ -82,26 +82,29 @@
     let mut tables = Tables::default();
     assert!(is_claimed(
         &mut tables,
-        claim("k", "a", LEADER).stamped(LEADER)
+        claim("k", "a", LEADER).with_leader_clock(LEADER)
     ));
-    let ahead = claim("other", "b", LEADER * 1_000).stamped(LEADER + 1);
+    let ahead = claim("other", "b", LEADER * 1_000).with_leader_clock(LEADER + 1);
     assert!(is_claimed(&mut tables, ahead));
     assert!(!is_claimed(
         &mut tables,
-        claim("k", "c", LEADER).stamped(LEADER + 2)
+        claim("k", "c", LEADER).with_leader_clock(LEADER + 2)
     ));
 }
 
 #[test]
 fn the_claim_of_a_router_years_behind_lasts_as_long() {
     let mut tables = Tables::default();
-    assert!(is_claimed(&mut tables, claim("k", "a", 5).stamped(LEADER)));
+    assert!(is_claimed(
+        &mut tables,
+        claim("k", "a", 5).with_leader_clock(LEADER)
+    ));
     assert!(!is_claimed(
         &mut tables,
-        claim("k", "b", LEADER).stamped(LEADER + 59)
+        claim("k", "b", LEADER).with_leader_clock(LEADER + 59)
     ));
     assert!(is_claimed(
         &mut tables,
-        claim("k", "c", LEADER).stamped(LEADER + 60)
+        claim("k", "c", LEADER).with_leader_clock(LEADER + 60)
     ));
 }
--- a/crates/sequoiawing_tables/tests/shared.rs
+++ b/crates/sequoiawing_tables/tests/shared.rs
@@ -37,11 +37,11 @@
     let before = tables();
     let mut after = before.clone();
     edit(&mut after, Change::PutRoute(route()));
-    assert!(Arc::ptr_eq(&before.pools.handle(), &after.pools.handle()));
-    assert!(Arc::ptr_eq(&before.keys.handle(), &after.keys.handle()));
+    assert!(Arc::ptr_eq(&before.pools.to_arc(), &after.pools.to_arc()));
+    assert!(Arc::ptr_eq(&before.keys.to_arc(), &after.keys.to_arc()));
     assert!(!Arc::ptr_eq(
-        &before.routes.handle(),
-        &after.routes.handle()
+        &before.routes.to_arc(),
+        &after.routes.to_arc()
     ));
 }
 
--- a/tools/capacity/src/messages.rs
+++ b/tools/capacity/src/messages.rs
@@ -6,7 +6,7 @@
     samples,
     slopes::{MessageSlopes, entries, holding},
 };
-use sequoiawing_link::{Format, Missing, Published};
+use sequoiawing_link::{ExchangeReply, FollowReply, Format};
 use sequoiawing_tables::{Revision, Update};
 use serde::Serialize;
 
@@ -66,8 +66,8 @@
     float(Format::Binary.encode(value).map_or(0, |v| v.len()))
 }
 
-fn published(update: Update) -> Published {
-    Published {
+fn published(update: Update) -> FollowReply {
+    FollowReply {
         revision: Revision(8_001),
         update: Some(update),
         age: 0,
@@ -88,7 +88,7 @@
         renewal: posted("renew", &samples::renewal(1_234, holding(size))),
         demand: call_bytes(vec![samples::demand()]),
         order: posted("orders", &samples::order()),
-        tables: reply_bytes(published(Update::Whole(tables))),
+        tables: reply_bytes(published(Update::Full(tables))),
         edit: call_bytes(samples::edit(1, None)),
         update: reply_bytes(published(samples::update(Revision(8_000), 1))) - reply_bytes(()),
         saved: json_bytes(&samples::update(Revision(8_000), 1)) + SAVED_HEAD,
@@ -100,7 +100,7 @@
         lease: call_bytes(request) + reply_bytes(Some(answer)),
         claim: call_bytes(samples::claim(1)),
         settle: call_bytes(samples::settle(1)),
-        batch: call_bytes(samples::batch()) + reply_bytes(Missing::default()),
+        batch: call_bytes(samples::batch()) + reply_bytes(ExchangeReply::default()),
         moved: link_bytes(&samples::moved_summary()),
         confirmation: link_bytes(&samples::moved_summary().confirmation()),
     }
--- a/tools/capacity/src/samples.rs
+++ b/tools/capacity/src/samples.rs
@@ -44,7 +44,7 @@
         tables.customers.insert(customer.name.clone(), customer);
     }
     for i in 0..entries.keys {
-        let key = BearerKey::random().at_rest(name("customer", i % entries.customers.max(1)));
+        let key = BearerKey::random().to_stored_key(name("customer", i % entries.customers.max(1)));
         tables.keys.insert(key.id.clone(), key);
     }
     for _ in 0..entries.withdrawn {
@@ -211,7 +211,7 @@
 
 /// Builds the edit that grants one more key.
 pub(crate) fn grant(_: u32) -> Command {
-    let key = BearerKey::random().at_rest(name("customer", 0));
+    let key = BearerKey::random().to_stored_key(name("customer", 0));
     one_change(Change::GrantKey(key))
 }
 
--- a/tools/capacity/src/slopes.rs
+++ b/tools/capacity/src/slopes.rs
@@ -152,7 +152,7 @@
 /// Makes the copy of the tables that one change needs.
 fn changed(tables: &Tables) -> Tables {
     let mut next = tables.clone();
-    next.update(samples::update(tables.revision, 1));
+    next.apply_update(samples::update(tables.revision, 1));
     next
 }
 
--- a/tools/capacity/src/times.rs
+++ b/tools/capacity/src/times.rs
@@ -229,7 +229,7 @@
     seconds(|| {
         i += 1;
         let mut next = tables.clone();
-        next.update(samples::update(tables.revision, i));
+        next.apply_update(samples::update(tables.revision, i));
         tables = next;
     })
 }
