--- a/crates/sequoiawing_link/src/codec.rs
+++ b/crates/sequoiawing_link/src/codec.rs
@@ -5,25 +5,26 @@
     tokio_util::bytes::{Bytes, BytesMut},
 };
 
-/// How messages are written on one connection.
+/// The serialization format of messages on one connection.
 ///
-/// The binary form is a third as long but has no field names, so that only
-/// processes of one release understand each other; others speak JSON, in which
-/// unknown fields are skipped and missing ones defaulted.
+/// Binary messages are a third as long as JSON but contain no field names, so
+/// that they can only be exchanged between processes of the same release.
+/// Processes of different releases use JSON, where unknown fields are ignored
+/// and missing fields have defaults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Format {
-    /// Postcard, between processes of one release.
+    /// Postcard, between processes of the same release.
     Binary,
-    /// JSON, between releases.
+    /// JSON, between processes of different releases.
     Json,
 }
 
 impl Format {
-    /// Writes a message.
+    /// Serializes a message.
     ///
     /// # Errors
     ///
-    /// Returns an error for a value that the form cannot hold.
+    /// Returns an error if the format cannot represent the value.
     pub fn encode<T>(self, value: &T) -> io::Result<Vec<u8>>
     where
         T: Serialize,
@@ -34,11 +35,11 @@
         }
     }
 
-    /// Reads a message.
+    /// Deserializes a message.
     ///
     /// # Errors
     ///
-    /// Returns an error when the bytes are no such message.
+    /// Returns an error if the bytes are not a valid message of type `T`.
     pub fn decode<T>(self, bytes: &[u8]) -> io::Result<T>
     where
         T: DeserializeOwned,
@@ -50,7 +51,8 @@
     }
 }
 
-/// Writes messages of type `O` and reads those of type `I`.
+/// A codec that serializes messages of type `O` and deserializes messages of
+/// type `I`.
 #[derive(Debug)]
 pub struct Codec<I, O> {
     format: Format,
--- a/crates/sequoiawing_link/src/error.rs
+++ b/crates/sequoiawing_link/src/error.rs
@@ -1,10 +1,10 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a call to another process brought no answer.
+/// An error of a call to another process.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The connection could not be made or was lost.
+    /// The connection could not be established or was lost.
     #[error("connection to {address} failed: {source}")]
     Connection {
         /// The address of the other process.
@@ -12,10 +12,10 @@
         /// The cause.
         source: io::Error,
     },
-    /// The other end did not prove that it knows the secret.
-    #[error("the other end does not know the deployment's secret")]
+    /// The peer did not prove that it knows the deployment's secret.
+    #[error("the peer did not prove that it knows the deployment's secret")]
     Unauthenticated,
-    /// The call was not answered in time.
+    /// No reply arrived within the time limit.
     #[error("call to {address} was not answered within {millis} ms")]
     Timeout {
         /// The address of the other process.
--- a/crates/sequoiawing_link/src/explain.rs
+++ b/crates/sequoiawing_link/src/explain.rs
@@ -2,13 +2,13 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// A request of which an operator wants to know what would become.
+/// A hypothetical request whose processing an operator wants explained.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ExplainRequest {
-    /// The public part of the key that would come with it.
+    /// The public part of the key that the request would carry.
     pub key: Option<KeyId>,
-    /// The customer, when no key is given.
+    /// The customer, if no key is given.
     pub customer: Option<Name>,
     /// The `Host` header.
     pub host: String,
@@ -16,49 +16,49 @@
     pub path: String,
     /// The model, or `model:adapter`.
     pub model: Option<Name>,
-    /// The tokens of prompt and answer together.
+    /// The total number of prompt and completion tokens.
     pub tokens: u64,
 }
 
-/// What one step of the way decides.
+/// The decision of one processing step.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The request goes on.
+    /// The request proceeds.
     #[default]
     Passes,
-    /// The request waits, as for a load.
+    /// The request waits, for example for a model load.
     Waits,
     /// The request is refused.
     Refused,
 }
 
-/// One step of the way of a request.
+/// One step in the processing of a request.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Step {
-    /// The filter or part that decides.
+    /// The filter or component that decides.
     pub part: String,
-    /// What it decides.
+    /// The decision.
     pub verdict: Verdict,
-    /// Why.
+    /// The reason for the decision.
     pub reason: String,
 }
 
-/// What would become of a request on one host, as things stand.
+/// The steps that a request would take on one host in its current state.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Explanation {
-    /// The host that answers.
+    /// The host that gives the explanation.
     pub host: Name,
-    /// The revision in force there.
+    /// The active revision of that host.
     pub revision: Revision,
     /// The steps in order; the last one decides.
     pub steps: Vec<Step>,
 }
 
 impl Explanation {
-    /// Adds a step and reports whether the request goes on.
+    /// Adds a step and returns whether the request proceeds.
     pub fn step<T>(&mut self, part: &str, verdict: Verdict, reason: T) -> bool
     where
         T: Into<String>,
--- a/crates/sequoiawing_link/src/handshake.rs
+++ b/crates/sequoiawing_link/src/handshake.rs
@@ -13,11 +13,11 @@
 const HELLO_BYTES: usize = NONCE_BYTES + RELEASE_BYTES;
 const PROOF_BYTES: usize = 32;
 
-/// Names the release in the greeting, so that processes of different releases
-/// do not speak a form that only one of them knows.
+/// Identifies the release in the hello message, so that processes of different
+/// releases do not choose a format that only one of them can read.
 const RELEASE: [u8; RELEASE_BYTES] = release(env!("CARGO_PKG_VERSION"));
 
-/// Returns the FNV-1a hash of a version.
+/// Returns the FNV-1a hash of a version as its release identifier.
 const fn release(version: &str) -> [u8; RELEASE_BYTES] {
     let bytes = version.as_bytes();
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
@@ -30,7 +30,7 @@
     hash.to_be_bytes()
 }
 
-/// Draws what an end says first: a nonce and its release.
+/// Generates a hello message: a random nonce and the release identifier.
 fn hello(release: [u8; RELEASE_BYTES]) -> [u8; HELLO_BYTES] {
     let mut hello = [0; HELLO_BYTES];
     let nonce: [u8; NONCE_BYTES] = rand::random();
@@ -39,7 +39,7 @@
     hello
 }
 
-/// Returns the form that both ends understand.
+/// Returns the format that both peers support.
 fn negotiate_format(ours: &[u8; HELLO_BYTES], theirs: &[u8; HELLO_BYTES]) -> Format {
     if ours[NONCE_BYTES..] == theirs[NONCE_BYTES..] {
         Format::Binary
@@ -48,12 +48,12 @@
     }
 }
 
-/// The secret that all processes of one deployment share.
+/// The secret shared by all processes of one deployment.
 #[derive(Clone)]
 pub struct Secret(Arc<[u8]>);
 
 impl Secret {
-    /// The shortest secret that settings may hold, in bytes.
+    /// The minimum length of a configured secret, in bytes.
     pub const MIN_BYTES: usize = 16;
 }
 
@@ -69,16 +69,18 @@
     }
 }
 
-/// Which end of a connection a proof is for, so that a proof cannot be sent
-/// back to the end that made it.
+/// The role of the peer that makes a proof. Proofs of the two roles differ, so
+/// that a proof cannot be reflected to the peer that made it.
 #[derive(Clone, Copy)]
 enum Role {
     Client,
     Server,
 }
 
-/// Proves the secret to the server, has the server prove it in turn, and
-/// returns the form in which both speak.
+/// Performs the client side of the handshake and returns the format of the
+/// connection.
+///
+/// The client proves the secret first, then verifies the server's proof.
 pub(crate) async fn initiate(stream: &mut TcpStream, secret: &Secret) -> Result<Format, LinkError> {
     let ours = hello(RELEASE);
     write(stream, &ours).await?;
@@ -89,8 +91,10 @@
     Ok(negotiate_format(&ours, &theirs))
 }
 
-/// Demands a proof of the secret from a client before giving one, and returns
-/// the form in which both speak.
+/// Performs the server side of the handshake and returns the format of the
+/// connection.
+///
+/// The server verifies the client's proof before it sends its own.
 pub(crate) async fn accept(stream: &mut TcpStream, secret: &Secret) -> Result<Format, LinkError> {
     let ours = hello(RELEASE);
     let theirs = read::<HELLO_BYTES>(stream).await?;
@@ -102,7 +106,8 @@
 }
 
 fn mac(secret: &Secret, role: Role, client: &[u8], server: &[u8]) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(&secret.0).expect("any key length works");
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(&secret.0).expect("HMAC accepts keys of any length");
     mac.update(match role {
         Role::Client => b"sequoiawing client",
         Role::Server => b"sequoiawing server",
--- a/crates/sequoiawing_link/src/handshake/tests.rs
+++ b/crates/sequoiawing_link/src/handshake/tests.rs
@@ -13,7 +13,7 @@
 }
 
 cases! {
-    one_release_speaks_binary: "0.1.0", "0.1.0" => Format::Binary;
-    different_releases_speak_json: "0.1.0", "0.2.0" => Format::Json;
-    a_version_that_begins_alike_is_another: "0.1.0", "0.1.0-rc.1" => Format::Json;
+    same_release_uses_binary: "0.1.0", "0.1.0" => Format::Binary;
+    different_releases_use_json: "0.1.0", "0.2.0" => Format::Json;
+    versions_with_common_prefix_differ: "0.1.0", "0.1.0-rc.1" => Format::Json;
 }
--- a/crates/sequoiawing_link/src/hub.rs
+++ b/crates/sequoiawing_link/src/hub.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::{net::IpAddr, sync::Arc};
 
-/// What one gateway was asked for of a model or adapter since the batch before.
+/// The demand for a model or adapter at one gateway since the previous batch.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ModelDemand {
@@ -15,18 +15,18 @@
     pub model: Name,
     /// The adapter, as `model:adapter`.
     pub adapter: Option<Name>,
-    /// The requests.
+    /// The number of requests.
     pub asked: u64,
-    /// The tokens that they declared.
+    /// The tokens that these requests declared.
     pub tokens: u64,
-    /// The requests that found no upstream with it.
+    /// The number of requests for which no upstream had it loaded.
     pub missed: u64,
-    /// The requests that found all upstreams with it full.
+    /// The number of requests for which all upstreams with it were full.
     pub crowded: u64,
 }
 
 impl ModelDemand {
-    /// Adds what was asked of the same model or adapter.
+    /// Adds the demand for the same model or adapter.
     pub fn add(&mut self, other: &Self) {
         self.asked += other.asked;
         self.tokens += other.tokens;
@@ -35,48 +35,49 @@
     }
 }
 
-/// Demand that a gateway reports together until a hub has taken it.
+/// A batch of demand, which a gateway reports until a hub has accepted it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct DemandBatch {
-    /// Counts the batches of one start of the gateway from 1 on.
+    /// The sequence number of the batch since the gateway started, from 1.
     pub number: u64,
     /// The demand.
     pub demand: Vec<ModelDemand>,
 }
 
-/// What a gateway tells a hub.
+/// A report from a gateway to a hub.
 ///
-/// The counters of use run from the start of the gateway, and demand comes in
-/// numbered batches, so that lost and repeated reports do no harm.
+/// Usage counters are cumulative since the gateway started and demand is sent in
+/// numbered batches, so that lost and repeated reports do not distort the
+/// totals.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct GatewayReport {
     /// The gateway's host.
     pub host: Name,
-    /// Names its start; a later one is higher.
+    /// Identifies the run of the gateway process; higher after each restart.
     pub incarnation: u64,
-    /// Whether it is shutting down.
+    /// Whether the gateway is shutting down.
     pub leaving: bool,
-    /// The version of the configuration that it has.
+    /// The version of the gateway's configuration.
     pub version: u64,
-    /// How far it has the hub's roster.
+    /// The gateway's position in the hub's roster.
     pub cursor: Cursor,
-    /// The units that each customer used here.
+    /// The units that each customer used at this gateway.
     pub used: Vec<(Name, u64)>,
-    /// The demand that no hub is known to have taken; told to one hub only.
+    /// The demand that no hub has acknowledged yet; sent to one hub only.
     pub demand: Vec<DemandBatch>,
-    /// The upstreams that could not be reached just now.
+    /// The upstreams that were recently unreachable.
     pub unreachable: Vec<Name>,
-    /// The upstreams that answered just now.
+    /// The upstreams that recently answered.
     pub reached: Vec<Name>,
-    /// What the hub counted when it last answered.
+    /// The value of `seen` in the hub's last reply.
     pub seen: u64,
-    /// How long the answer may wait until something is new, in milliseconds.
+    /// The maximum time to wait for changes before replying, in milliseconds.
     pub wait: u64,
 }
 
-/// A load that is under way.
+/// A load in progress.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct PlannedLoad {
@@ -84,138 +85,140 @@
     pub pool: Name,
     /// The model, or adapter as `model:adapter`.
     pub model: Name,
-    /// The upstream that loads it.
+    /// The upstream that performs the load.
     pub upstream: Name,
-    /// When it should be done, in milliseconds from now.
+    /// The expected time until it completes, in milliseconds.
     pub ready: u64,
-    /// How long ago it should have been done, in milliseconds.
+    /// The time by which it is overdue, in milliseconds.
     pub late: u64,
 }
 
-/// What one gateway last told of itself, as hubs pass it on to each other.
+/// The last usage report of one gateway, as forwarded between hubs.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct GatewayUsage {
     /// The gateway's host.
     pub host: Name,
-    /// Names its start; a later one is higher.
+    /// Identifies the run of the gateway process; higher after each restart.
     pub incarnation: u64,
-    /// Whether it is shutting down.
+    /// Whether the gateway is shutting down.
     pub leaving: bool,
-    /// The units that each customer used there.
+    /// The units that each customer used at that gateway.
     pub used: Vec<(Name, u64)>,
-    /// The upstreams that it could not reach.
+    /// The upstreams that the gateway could not reach.
     pub unreachable: Vec<Name>,
-    /// The upstreams that answered it.
+    /// The upstreams that answered the gateway.
     pub reached: Vec<Name>,
-    /// How long ago it told, in milliseconds.
+    /// The time since the report, in milliseconds.
     pub age: u64,
 }
 
-/// The loads and evictions that a leader has ordered.
+/// The loads and evictions ordered by a leader.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct OrderedLoads {
-    /// The leader's term; plans of a lower one are out of date.
+    /// The leader's term. Orders of a lower term are outdated.
     pub term: u64,
-    /// The loads under way.
+    /// The loads in progress.
     pub loads: Vec<PlannedLoad>,
-    /// The models that upstreams were told to give up, with the upstreams.
+    /// The evicted models, each with the upstream that was ordered to unload it.
     pub evicted: Vec<(Name, Name)>,
 }
 
-/// What a hub is, as far as it helps gateways to choose among hubs.
+/// Information about a hub, by which gateways choose among hubs.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct HubInfo {
-    /// Its data centre.
+    /// The hub's data centre.
     pub centre: Name,
-    /// The hosts of all hubs.
+    /// The host addresses of all hubs.
     pub hubs: Vec<IpAddr>,
-    /// Whether its controller leads the log.
+    /// Whether its controller is the leader of the log.
     pub leads: bool,
-    /// How long ago its controller was in touch with the log's majority, in
-    /// milliseconds.
+    /// The time since its controller last had contact with a majority of the
+    /// log's voters, in milliseconds.
     pub age: u64,
-    /// How long ago it gave its last order, or else its start, in milliseconds.
+    /// The time since its last order, or since its start if it has given none, in
+    /// milliseconds.
     pub order_age: u64,
 }
 
-/// What a hub answers to a gateway.
+/// The reply of a hub to a [`GatewayReport`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct SyncReply {
-    /// Names the start of the hub.
+    /// Identifies the run of the hub process.
     pub epoch: u64,
-    /// What the hub is.
+    /// Information about the hub.
     pub facts: HubInfo,
     /// The configuration, if it is newer than the gateway's.
     pub catalog: Option<Arc<Catalog>>,
-    /// What is new in the roster.
+    /// The changes of the roster.
     pub roster: RosterNews,
-    /// The upstreams that have been silent for long.
+    /// The upstreams that have not announced themselves for a long time.
     pub silent: Vec<Name>,
-    /// The units that each customer used at all gateways.
+    /// The units that each customer used across all gateways.
     pub used: Vec<(Name, u64)>,
-    /// Whether the sums are whole: a hub that starts while gateways are in use
-    /// hears of them one after the other.
+    /// Whether the totals are complete. A hub that starts while gateways are
+    /// running learns of them one after the other.
     pub settled: bool,
-    /// The gateways.
+    /// The number of gateways.
     pub gateways: u32,
-    /// Those among them that stopped to report without saying that they leave.
+    /// The number of gateways that stopped reporting without announcing their
+    /// shutdown.
     pub missing: u32,
-    /// What the leader has ordered, as far as the hub knows.
+    /// The leader's orders, as far as the hub knows them.
     pub ordered: Option<OrderedLoads>,
-    /// Counts what was new; handed back in the next report.
+    /// The hub's change counter, to be returned in the next report.
     pub seen: u64,
 }
 
-/// What a hub asks another hub for.
+/// A request from a hub for the changes at another hub.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct MirrorRequest {
-    /// How far it has the other's roster.
+    /// The sender's position in the other hub's roster.
     pub cursor: Cursor,
-    /// How far it has what gateways told the other.
+    /// The stamp of the last gateway usage received from the other hub.
     pub stamp: u64,
-    /// What the other counted when it last answered.
+    /// The value of `seen` in the other hub's last reply.
     pub seen: u64,
-    /// How long the answer may wait until something is new, in milliseconds.
+    /// The maximum time to wait for changes before replying, in milliseconds.
     pub wait: u64,
 }
 
-/// What a hub answers to another hub.
+/// The reply of a hub to a [`MirrorRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct MirrorReply {
-    /// What is new in the roster.
+    /// The changes of the roster.
     pub roster: RosterNews,
-    /// What gateways told the hub itself.
+    /// The usage that gateways reported directly to the hub.
     pub uses: Vec<GatewayUsage>,
-    /// How far that goes.
+    /// The stamp of the newest usage.
     pub stamp: u64,
-    /// What it has ordered, if its controller leads the log.
+    /// The hub's orders, if its controller is the leader of the log.
     pub ordered: Option<OrderedLoads>,
-    /// Counts what was new; handed back in the next request.
+    /// The hub's change counter, to be returned in the next request.
     pub seen: u64,
 }
 
-/// The calls that a hub answers to gateways and other hubs.
+/// The RPC interface of a hub for gateways and other hubs.
 #[tarpc::service]
 pub trait Hub {
-    /// Takes in what a gateway reports and returns what is new to it.
+    /// Processes a gateway's report and returns the changes since its last one.
     async fn sync(report: GatewayReport) -> SyncReply;
-    /// Returns what the hub is.
+    /// Returns information about the hub.
     async fn facts() -> HubInfo;
-    /// Returns what is new to another hub.
+    /// Returns the changes since another hub's last request.
     async fn mirror(request: MirrorRequest) -> MirrorReply;
-    /// Takes in demand that gateways reported to another hub.
+    /// Receives demand that gateways reported to another hub.
     async fn demand(demand: Vec<ModelDemand>);
-    /// Puts a configuration in force unless the present one is as new, and
-    /// returns the version in force.
+    /// Replaces the configuration, unless the current version is the same or
+    /// newer, and returns the active version.
     async fn replace(document: Document) -> Result<u64, ControlError>;
-    /// Returns the configuration in force as of a moment after the call was
-    /// made.
+    /// Returns the active configuration as of a time after the call was made (a
+    /// linearizable read).
     async fn document() -> Result<Document, ControlError>;
     /// Returns the whole state as JSON, without secrets.
     async fn dump() -> String;
--- a/crates/sequoiawing_link/src/lib.rs
+++ b/crates/sequoiawing_link/src/lib.rs
@@ -1,9 +1,9 @@
-//! Authenticated calls between `sequoiawing` processes.
+//! Authenticated RPC between `sequoiawing` processes.
 //!
-//! Calls are made with `tarpc` over TCP. Before the first call both ends prove
-//! that they know the deployment's secret; see
-//! [docs/SECURITY.md](../../../docs/SECURITY.md). Processes of one release speak
-//! a binary [`Format`], those of different releases JSON.
+//! Calls use `tarpc` over TCP. Before the first call, both peers prove that they
+//! know the deployment's secret; see
+//! [docs/SECURITY.md](../../../docs/SECURITY.md). Processes of the same
+//! release use a binary [`Format`], processes of different releases JSON.
 
 mod budget;
 mod codec;
--- a/crates/sequoiawing_link/src/peer.rs
+++ b/crates/sequoiawing_link/src/peer.rs
@@ -5,42 +5,42 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// What one router tells another of upstreams.
+/// A batch of upstream changes, sent from one router to another.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct UpstreamBatch {
     /// The sender.
     pub source: Source,
-    /// The upstreams that announced themselves to the sender, of which
-    /// something changed.
+    /// The changed upstreams among those that announce themselves to the sender.
     pub states: Vec<Relayed>,
-    /// The loads of the others.
+    /// The load of the sender's other upstreams.
     pub loads: Vec<LoadDelta>,
-    /// What other data centres tell the receiver's.
+    /// The summaries of other data centres for the receiver's data centre.
     pub summaries: Vec<Summary>,
-    /// Whether the receiver passes the summaries on within its data centre,
-    /// because they came from another one.
+    /// Whether the receiver forwards the summaries within its data centre,
+    /// because the sender is in another one.
     pub spread: bool,
 }
 
-/// What the receiver of an [`UpstreamBatch`] could not use.
+/// The parts of an [`UpstreamBatch`] that the receiver could not apply.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ExchangeReply {
-    /// The indexes of loads whose upstream is not known in that version.
+    /// The indexes of loads whose upstream the receiver does not know in that
+    /// version.
     pub indexes: Vec<u64>,
-    /// The data centres of which the whole summary is needed.
+    /// The data centres whose full summary is needed.
     pub centres: Vec<Name>,
 }
 
 impl ExchangeReply {
-    /// Reports whether everything could be used.
+    /// Returns whether the whole batch was applied.
     pub fn is_empty(&self) -> bool {
         self.indexes.is_empty() && self.centres.is_empty()
     }
 }
 
-/// What a router reports of itself.
+/// The status of a router.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct RouterStatus {
@@ -48,51 +48,52 @@
     pub host: Name,
     /// Its data centre.
     pub centre: Name,
-    /// The revision in force.
+    /// The active revision.
     pub revision: Revision,
-    /// The host that leads the data centre's cell, if known.
+    /// The leader of the data centre's cell, if known.
     pub leader: Option<Name>,
     /// The cell's term.
     pub term: u64,
-    /// The requests that are being served.
+    /// The number of requests being served.
     pub open: usize,
-    /// The requests that wait.
+    /// The number of queued requests.
     pub waiting: usize,
-    /// The upstreams that are alive.
+    /// The number of upstreams that are alive.
     pub upstreams: usize,
-    /// Whether the router is shutting down.
+    /// Whether the router is draining.
     pub draining: bool,
 }
 
-/// The calls that a router answers to other routers and to operators.
+/// The RPC interface of a router for other routers and operators.
 #[tarpc::service]
 pub trait Peer {
     /// Lends credit of budgets to a router of the data centre.
     async fn lend(batch: BudgetBatch) -> BudgetReplies;
-    /// Waits until the borrower has to return credit, for at most so many
-    /// milliseconds, and returns the budgets.
+    /// Waits for at most `wait` milliseconds until the borrower has to return
+    /// credit, and returns the affected budgets.
     async fn recalled(borrower: Name, wait: u64) -> Vec<Name>;
-    /// Takes in what another router learnt of upstreams, and returns what must
-    /// be sent whole.
+    /// Applies the upstream changes of another router and returns the entries
+    /// that must be sent in full.
     async fn exchange(batch: UpstreamBatch) -> ExchangeReply;
-    /// Asks the cell leader for a model.
+    /// Requests models from the cell leader.
     async fn demand(demands: Vec<Demand>) -> Vec<OrderState>;
-    /// Answers another member of the data centre's cell.
+    /// Handles a request from another member of the data centre's cell.
     async fn cell(request: CellRequest) -> Option<CellReply>;
-    /// Returns the tables when they are newer than the asker's; routers relay
-    /// them, so that not all ask the controllers.
+    /// Returns the tables if they are newer than those of the requesting host.
+    /// Routers relay the tables to each other to reduce the load on the
+    /// controllers.
     async fn follow(question: FollowRequest) -> FollowReply;
-    /// Withdraws keys at once, without waiting for the log, and returns the
-    /// withdrawn keys that the router knows in all.
+    /// Revokes keys immediately, without waiting for the log, and returns the
+    /// total number of revoked keys that the router knows.
     async fn withdraw(keys: Vec<KeyId>) -> usize;
-    /// Returns the newest announcement of each upstream that is alive.
+    /// Returns the latest announcement of each upstream that is alive.
     async fn upstreams() -> Vec<UpstreamState>;
-    /// Returns what would become of a request, without sending one.
+    /// Explains how a request would be processed, without sending it.
     async fn explain(question: ExplainRequest) -> Explanation;
-    /// Makes the health check fail, so that the platform's balancer sends no
-    /// more callers, or succeed again; requests are still served.
+    /// Sets whether the health check fails, so that the platform's load balancer
+    /// sends no new callers. Requests are still served.
     async fn drain(draining: bool) -> RouterStatus;
-    /// Returns what the router reports of itself.
+    /// Returns the status of the router.
     async fn status() -> RouterStatus;
     /// Returns the whole state of the process as JSON, without secrets.
     async fn dump() -> String;
--- a/crates/sequoiawing_link/src/serve.rs
+++ b/crates/sequoiawing_link/src/serve.rs
@@ -11,24 +11,24 @@
     tokio_util::codec::{Framed, LengthDelimitedCodec},
 };
 
-/// How long a new connection may take to prove the secret.
+/// The time limit for the handshake of a new connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long the listener waits after the operating system refused a connection.
+/// The delay before the listener accepts again after an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The largest message between processes, in bytes; a snapshot of the tables
-/// at the size in docs/CAPACITY.md fits.
+/// The maximum size of a message, in bytes. A snapshot of the tables at the size
+/// given in docs/CAPACITY.md must fit.
 pub(crate) const MAX_FRAME_BYTES: usize = 256 * 1024 * 1024;
 
-/// An authenticated connection, and the form in which both ends speak.
+/// An authenticated connection with its negotiated format.
 #[derive(Debug)]
 pub struct Connection {
     pub(crate) stream: TcpStream,
     pub(crate) format: Format,
 }
 
-/// The transport of one authenticated connection.
+/// The `tarpc` transport over an authenticated connection.
 pub type Transport<I, O> = tarpc::serde_transport::Transport<Compat<TcpStream>, I, O, Codec<I, O>>;
 
 pub(crate) fn transport<I, O>(connection: Connection) -> Transport<I, O>
@@ -42,7 +42,8 @@
     tarpc::serde_transport::new(frames, Codec::new(connection.format))
 }
 
-/// Answers the calls of one authenticated connection until it closes.
+/// A handler that serves the calls of one authenticated connection until it
+/// closes.
 pub type ConnectionHandler = Box<dyn Fn(Connection) -> BoxFuture<'static, ()> + Send + Sync>;
 
 /// Returns a server channel over an authenticated connection.
@@ -56,7 +57,7 @@
     BaseChannel::with_defaults(transport(connection))
 }
 
-/// Runs one call of a connection as a task of its own.
+/// Spawns a task that runs one call of a connection.
 pub fn spawn_call<F>(call: F)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -64,24 +65,24 @@
     spawn(Compat::new(call)).detach();
 }
 
-/// Makes the [`ConnectionHandler`] of a service that `tarpc` generated.
+/// Creates the [`ConnectionHandler`] of a service that `tarpc` generated.
 ///
-/// It is a macro because only at a concrete service type can the compiler see
-/// that the generated futures may move between threads.
+/// This is a macro because the compiler can only prove that the generated
+/// futures are `Send` for a concrete service type.
 #[macro_export]
 macro_rules! connection_handler {
     ($service:expr) => {{
         let service = $service;
-        let answer: $crate::ConnectionHandler = Box::new(move |connection| {
+        let handler: $crate::ConnectionHandler = Box::new(move |connection| {
             use $crate::{Channel, StreamExt};
             let calls = $crate::server_channel(connection).execute(service.clone());
             Box::pin(calls.for_each(|call| async move { $crate::spawn_call(call) }))
         });
-        answer
+        handler
     }};
 }
 
-/// A listener that answers the calls of other processes.
+/// A listener that serves calls from other processes.
 #[derive(Debug)]
 pub struct LinkListener {
     listener: TcpListener,
@@ -93,39 +94,40 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system when the address is taken.
+    /// Returns the I/O error if the address cannot be bound, for example because
+    /// it is in use.
     pub async fn bind(address: SocketAddr, secret: Secret) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener, secret })
     }
 
-    /// Returns the address that was bound, with its port.
+    /// Returns the bound address, with the actual port.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system.
+    /// Returns the I/O error if the address cannot be determined.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Answers calls until shutdown starts.
+    /// Serves calls until shutdown starts.
     ///
-    /// `answer` comes from [`connection_handler!`](crate::connection_handler).
-    pub async fn serve(self, answer: ConnectionHandler, shutdown: Shutdown) {
+    /// `handler` comes from [`connection_handler!`](crate::connection_handler).
+    pub async fn serve(self, handler: ConnectionHandler, shutdown: Shutdown) {
         let secret = self.secret;
-        let answer = Arc::new(answer);
+        let handler = Arc::new(handler);
         while let Some(accepted) = shutdown.or(self.listener.accept()).await {
             let Ok((stream, _)) = accepted else {
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let secret = secret.clone();
-            let answer = answer.clone();
+            let handler = handler.clone();
             let shutdown = shutdown.clone();
             let connection = async move {
-                let served = serve_connection(stream, &secret, &answer);
+                let served = serve_connection(stream, &secret, &handler);
                 if let Some(Err(error)) = shutdown.or(served).await {
-                    log::warn!(target: "link", "Rejected a connection: {error}.");
+                    log::warn!(target: "link", "Rejected connection: {error}.");
                 }
             };
             spawn(Compat::new(connection)).detach();
@@ -136,11 +138,11 @@
 async fn serve_connection(
     mut stream: TcpStream,
     secret: &Secret,
-    answer: &ConnectionHandler,
+    handler: &ConnectionHandler,
 ) -> Result<(), LinkError> {
     stream.set_nodelay(true).ok();
     let negotiated = timeout(HANDSHAKE_TIMEOUT, handshake::accept(&mut stream, secret)).await;
     let format = negotiated.ok_or(LinkError::Unauthenticated)??;
-    answer(Connection { stream, format }).await;
+    handler(Connection { stream, format }).await;
     Ok(())
 }
--- a/crates/sequoiawing_link/src/stub.rs
+++ b/crates/sequoiawing_link/src/stub.rs
@@ -16,12 +16,12 @@
 };
 use tarpc::{client::RpcError, context, context::Context};
 
-/// How long connecting and proving the secret may take.
+/// The time limit for connecting, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A generated client that can be built over an authenticated connection.
+/// A generated client that can be started on an authenticated connection.
 pub trait Connect: Clone + Send + Sync + 'static {
-    /// Starts the client over the connection.
+    /// Starts the client on the connection.
     fn start(connection: Connection) -> Self;
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A client that connects on its first call and again after a failure.
+/// A client that connects on its first call and reconnects after a failure.
 ///
 /// Clones share the connection.
 #[derive(Clone)]
@@ -63,7 +63,7 @@
 where
     C: Connect,
 {
-    /// Returns a client that has not connected yet.
+    /// Creates a client that is not connected yet.
     pub fn new(address: SocketAddr, secret: Secret) -> Self {
         let client = Arc::new(Mutex::new(None));
         Self {
@@ -78,14 +78,15 @@
         self.address
     }
 
-    /// Makes one call, connecting first when necessary.
+    /// Makes one call, connecting first if necessary.
     ///
-    /// The call is never sent twice: after an error it may have been carried
-    /// out.
+    /// The call is never retried, since it may have been executed despite an
+    /// error.
     ///
     /// # Errors
     ///
-    /// Returns an error when no answer came within `limit`.
+    /// Returns an error if the connection or the call fails, or if no reply
+    /// arrives within `limit`.
     pub async fn call<F, R, T>(&self, limit: Duration, make: F) -> Result<T, LinkError>
     where
         F: FnOnce(C, Context) -> R + Send,
--- a/crates/sequoiawing_link/src/translation.rs
+++ b/crates/sequoiawing_link/src/translation.rs
@@ -1,30 +1,30 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
-/// An address and the one under which this host reaches it.
+/// A translation of one address to the address that this host connects to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Translation {
-    /// The address as the settings, the tables or an upstream give it.
+    /// The address as given by the settings, the tables or an upstream.
     pub address: SocketAddr,
-    /// The address to connect to in its place.
+    /// The address to connect to instead.
     pub reach: SocketAddr,
 }
 
-/// The addresses that this host reaches under others, as behind address
-/// translation between data centres.
+/// The address translations of this host, for example for NAT between data
+/// centres.
 ///
-/// Clones share the addresses.
+/// Clones share the translations.
 #[derive(Clone, Debug, Default)]
 pub struct Translations(Arc<BTreeMap<SocketAddr, SocketAddr>>);
 
 impl Translations {
-    /// Returns the translations that the settings name.
+    /// Creates the translations from the settings.
     pub fn new(settings: &[Translation]) -> Self {
         let pairs = settings.iter().map(|t| (t.address, t.reach));
         Self(Arc::new(pairs.collect()))
     }
 
-    /// Returns where to connect to reach an address.
+    /// Returns the address to connect to in order to reach `address`.
     pub fn translate(&self, address: SocketAddr) -> SocketAddr {
         self.0.get(&address).copied().unwrap_or(address)
     }
--- a/crates/sequoiawing_link/tests/codec.rs
+++ b/crates/sequoiawing_link/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Writes and reads messages in both forms.
+//! Tests that messages survive a round trip in both formats.
 
 use sequoiawing_fleet::{LoadDelta, Publisher, Rank, Relayed, Source, UpstreamState};
 use sequoiawing_link::{
@@ -9,14 +9,14 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 
-fn check<T>(message: &T)
+fn assert_round_trip<T>(message: &T)
 where
     T: Debug + PartialEq + Serialize + DeserializeOwned,
 {
     for format in [Format::Binary, Format::Json] {
-        let bytes = format.encode(message).expect("it can be written");
-        let read: T = format.decode(&bytes).expect("it can be read");
-        assert_eq!(read, *message, "{format:?}");
+        let bytes = format.encode(message).expect("message serializes");
+        let decoded: T = format.decode(&bytes).expect("message deserializes");
+        assert_eq!(decoded, *message, "{format:?}");
     }
 }
 
@@ -88,27 +88,27 @@
     ($($name:ident: $message:expr;)*) => {$(
         #[test]
         fn $name() {
-            check(&$message);
+            assert_round_trip(&$message);
         }
     )*};
 }
 
 cases! {
-    a_batch_of_upstreams: batch();
-    an_edit: edit();
-    a_change_for_a_follower: published();
-    a_question_for_tables: FollowRequest { host: Name::from("entry-1"), ..FollowRequest::default() };
-    a_refused_edit: Ok::<_, ControlError>(invalid());
-    an_error: Err::<Outcome, _>(ControlError::NotLeader { leader: Some(([127, 0, 0, 1], 1).into()) });
-    no_budgets: BudgetReplies::None;
-    how_a_call_ended: [Ran::Yes, Ran::No, Ran::Unknown];
+    upstream_batch: batch();
+    edit_command: edit();
+    follow_reply: published();
+    follow_request: FollowRequest { host: Name::from("entry-1"), ..FollowRequest::default() };
+    rejected_edit: Ok::<_, ControlError>(invalid());
+    control_error: Err::<Outcome, _>(ControlError::NotLeader { leader: Some(([127, 0, 0, 1], 1).into()) });
+    missing_budget_replies: BudgetReplies::None;
+    call_outcomes: [Ran::Yes, Ran::No, Ran::Unknown];
 }
 
-/// Between releases fields come and go.
+/// Processes of different releases may have different fields in a message.
 #[test]
-fn json_passes_over_fields_that_one_side_does_not_know() {
-    let read: FollowRequest = Format::Json
+fn json_ignores_unknown_fields_and_defaults_missing_ones() {
+    let request: FollowRequest = Format::Json
         .decode(br#"{"host":"entry-1","later":true}"#)
-        .expect("it can be read");
-    assert_eq!(read.host, Name::from("entry-1"));
+        .expect("request deserializes");
+    assert_eq!(request.host, Name::from("entry-1"));
 }
--- a/crates/sequoiawing_tables/src/change.rs
+++ b/crates/sequoiawing_tables/src/change.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One change of one entry of the tables.
+/// A change of one entry of the tables.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
@@ -20,33 +20,38 @@
     PutRoute(Route),
     /// Removes a route.
     DeleteRoute(Name),
-    /// Replaces what the weight store bears.
+    /// Replaces the capacity limits of the weight store.
     PutStore(Store),
     /// Grants a key.
     GrantKey(Key),
-    /// Withdraws a key for good.
+    /// Revokes a key permanently.
     WithdrawKey(KeyId),
-    /// Keeps new work from an upstream, as if it announced that it leaves.
+    /// Stops sending new requests to an upstream, as if it had announced its
+    /// shutdown.
     Drain(Name),
-    /// Lets an upstream take new work again.
+    /// Resumes sending new requests to an upstream.
     Undrain(Name),
-    /// Adds a host to its data centre's cell; only ever made by the log itself.
+    /// Adds a host to its data centre's cell. Internal: made only while the log
+    /// is applied.
     PutHost(RouterHost),
-    /// Removes a host from its cell; only ever made by the log itself.
+    /// Removes a host from its cell. Internal: made only while the log is
+    /// applied.
     DeleteHost(Name),
-    /// Settles an epoch of a cell; only ever made by the log itself.
+    /// Marks a membership epoch of a cell as settled. Internal: made only while
+    /// the log is applied.
     SettleCell {
         /// The data centre.
         centre: Name,
         /// The epoch.
         epoch: u64,
     },
-    /// Replaces the whole configuration; only ever made by the log itself.
+    /// Replaces the whole configuration. Internal: made only while the log is
+    /// applied.
     PutCatalog(Arc<Catalog>),
 }
 
 impl Change {
-    /// Reports whether only the log itself may make the change.
+    /// Returns whether the change is internal, and so rejected in an edit.
     pub(crate) fn is_internal(&self) -> bool {
         matches!(
             self,
--- a/crates/sequoiawing_tables/src/check.rs
+++ b/crates/sequoiawing_tables/src/check.rs
@@ -3,13 +3,13 @@
 use sequoiawing_types::{Findings, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest deadline of a route, in milliseconds.
+/// The maximum deadline of a route, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 60 * 60 * 1_000;
 
-/// The longest that a load may be said to take, in seconds.
+/// The maximum configurable load time, in seconds.
 const MAX_LOAD_SECONDS: u64 = 60 * 60;
 
-/// Checks the tables as a whole and reports every finding.
+/// Validates the tables and returns all findings.
 pub(crate) fn check_tables(tables: &Tables) -> Findings {
     let mut findings = Findings::default();
     for customer in tables.customers.values() {
@@ -43,13 +43,13 @@
 }
 
 fn check_store(findings: &mut Findings, store: &Store) {
-    let least = [
+    let minimums = [
         ("starts", store.starts),
         ("slots", store.slots),
         ("adapters", store.adapters),
         ("longest", store.longest),
     ];
-    for (field, value) in least {
+    for (field, value) in minimums {
         if value == 0 {
             findings.push(format!("store.{field}"), "must be at least 1");
         }
@@ -77,11 +77,11 @@
             "a pool of services has no models",
         );
     }
-    let mut seen = BTreeSet::new();
+    let mut names = BTreeSet::new();
     for model in &pool.models {
         let place = format!("{place}.models.{}", model.name);
         check_name(findings, &place, &model.name);
-        if !seen.insert(&model.name) {
+        if !names.insert(&model.name) {
             findings.push(&place, "stands twice");
         }
         if model.memory == 0 {
--- a/crates/sequoiawing_tables/src/claim.rs
+++ b/crates/sequoiawing_tables/src/claim.rs
@@ -1,18 +1,18 @@
 use sequoiawing_types::{Name, Ran};
 use serde::{Deserialize, Serialize};
 
-/// What makes a non-repeatable call the same call when it is sent again.
+/// Identifies a non-idempotent call across resends.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct ClaimId {
-    /// The customer whose key came with the call.
+    /// The customer that the call's key belongs to.
     pub customer: Name,
-    /// The route that the call takes.
+    /// The route that the call matches.
     pub route: Name,
-    /// The caller's `Idempotency-Key`.
+    /// The value of the caller's `Idempotency-Key` header.
     pub key: String,
 }
 
-/// The answer that a resend is given.
+/// The recorded response that a resend of the call receives.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct StoredAnswer {
     /// The HTTP status.
@@ -23,32 +23,33 @@
     pub body: String,
 }
 
-/// How far a claimed call has come.
+/// The state of a claimed call.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// The holder may have sent the call and has not recorded how it ended.
+    /// The holder may have sent the call and has not recorded its outcome.
     Open,
-    /// The call ended with this answer.
+    /// The call completed with this response.
     Answered(StoredAnswer),
-    /// The call ended without a whole answer.
+    /// The call ended without a complete response.
     Ended(Ran),
 }
 
-/// A call that runs at most once.
+/// A claim on a call that runs at most once.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Claim {
-    /// The attempt that holds the claim; another attempt never runs the call.
+    /// The attempt that holds the claim. No other attempt runs the call.
     pub attempt: String,
-    /// The SHA-256 of the request, so that a reused key on another request is
-    /// refused.
+    /// The SHA-256 digest of the request. A key reused for a different request
+    /// is refused.
     pub digest: String,
-    /// How far the call has come.
+    /// The state of the call.
     pub state: ClaimState,
-    /// The time until which the holder may still answer, in seconds of wall
-    /// clock; an open claim past it is of a holder that died.
+    /// The time until which the holder may still record a response, in seconds
+    /// of wall-clock time. The holder of an open claim past this time has
+    /// crashed.
     #[serde(default)]
     pub until: u64,
-    /// The time when the claim may be forgotten, in seconds of the log's clock.
+    /// The time when the claim may be removed, in seconds of the log's clock.
     pub expiry: u64,
 }
--- a/crates/sequoiawing_tables/src/claims.rs
+++ b/crates/sequoiawing_tables/src/claims.rs
@@ -2,8 +2,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The claims that stand, with those that expire first at hand: a claim must
-/// not look through all others, of which there may be a day's.
+/// The current claims, indexed by expiry.
+///
+/// Without the index, each new claim would scan all others to find expired
+/// ones, and up to a day's claims are kept.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(from = "Vec<(ClaimId, Claim)>", into = "Vec<(ClaimId, Claim)>")]
 pub(crate) struct Claims {
@@ -16,21 +18,22 @@
         self.claims.get(id)
     }
 
-    /// Returns a claim to record its end. Its expiry is not to be changed.
+    /// Returns a claim, to record the call's outcome. The caller must not change
+    /// the expiry, since the index would become stale.
     pub(crate) fn get_mut(&mut self, id: &ClaimId) -> Option<&mut Claim> {
         self.claims.get_mut(id)
     }
 
-    /// Adds a claim, in place of an earlier one of the same call.
+    /// Inserts a claim, replacing an earlier one of the same call.
     pub(crate) fn insert(&mut self, id: ClaimId, claim: Claim) {
         let expiry = claim.expiry;
-        if let Some(former) = self.claims.insert(id.clone(), claim) {
-            self.expiries.remove(&(former.expiry, id.clone()));
+        if let Some(previous) = self.claims.insert(id.clone(), claim) {
+            self.expiries.remove(&(previous.expiry, id.clone()));
         }
         self.expiries.insert((expiry, id));
     }
 
-    /// Forgets what has expired by `clock`.
+    /// Removes the claims that have expired at `clock`, in seconds.
     pub(crate) fn expire(&mut self, clock: u64) {
         while let Some((_, id)) = self.expiries.first().filter(|(at, _)| *at <= clock) {
             self.claims.remove(id);
--- a/crates/sequoiawing_tables/src/command.rs
+++ b/crates/sequoiawing_tables/src/command.rs
@@ -5,18 +5,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One entry of the replicated log.
+/// A command in the replicated log.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// Changes the tables.
+    /// Edits the tables.
     Edit {
-        /// Repeated with every resend of the same edit.
+        /// Identifies the edit. Resends of the same edit carry the same value.
         request: RequestId,
-        /// The revision that the edit was made from; `None` for changes that
-        /// cannot conflict, such as a withdrawn key.
+        /// The revision that the edit is based on, or `None` for changes that
+        /// cannot conflict, such as revoking a key.
         base: Option<Revision>,
-        /// All of them are made, or none.
+        /// The changes, applied atomically.
         changes: Vec<Change>,
     },
     /// Adds a host's router to its data centre's cell.
@@ -25,10 +25,11 @@
     Retire {
         /// The host.
         host: Name,
-        /// Whether the operator vouches that the host does not run any more.
+        /// Whether the operator confirms that the host no longer runs.
         dead: bool,
     },
-    /// Notes that a leader held its lease by a majority of a cell's epoch.
+    /// Records that a leader acquired its lease from a majority of the cell's
+    /// members in this epoch.
     SettleCell {
         /// The data centre.
         centre: Name,
@@ -37,8 +38,8 @@
     },
     /// Sets how many replicas of a model a data centre may hold.
     ///
-    /// Raised before a load is ordered, and lowered only after the upstream
-    /// reported that the model is gone.
+    /// The number is raised before a load is ordered, and lowered only after the
+    /// upstream has reported that the model is unloaded.
     Allot {
         /// The pool.
         pool: Name,
@@ -46,49 +47,53 @@
         model: Name,
         /// The data centre.
         centre: Name,
-        /// The term of the cell that asks; an older term changes nothing.
+        /// The cell's term. A command from an older term changes nothing.
         term: u64,
-        /// Numbers what the leader asks in the term, so that a command which was
-        /// overtaken by a later one changes nothing.
+        /// The leader's sequence number within the term. A command that arrives
+        /// after a later one changes nothing.
         serial: u64,
-        /// The replicas that the data centre wants to hold in all.
+        /// The total number of replicas that the data centre requests.
         want: u32,
     },
-    /// Bounds what the owner of budgets may lend before the next such command.
+    /// Sets the limits on what the owner of the budgets may lend until the next
+    /// such command.
     MarkBudgets {
-        /// The owner's term; an older one changes nothing.
+        /// The owner's term. A command from an older term changes nothing.
         term: u64,
         /// The watermarks by budget.
         marks: BTreeMap<Name, Watermark>,
     },
-    /// Puts a whole configuration in force, unless the present one is as new.
+    /// Replaces the whole configuration, unless the current version is the same
+    /// or newer.
     Replace(Document),
-    /// Claims a non-repeatable call before it is sent.
+    /// Claims a non-idempotent call before it is sent.
     Claim {
         /// The call.
         id: ClaimId,
-        /// The claim that stands if the call was not claimed before.
+        /// The claim to record if the call is not claimed yet.
         claim: Claim,
-        /// The wall clock in seconds by which the claim's times were set; the
-        /// log's leader puts its own. Only ever moves the log's clock forward.
+        /// The wall-clock time in seconds that the claim's times are based on.
+        /// The log's leader replaces it by its own. The log's clock only moves
+        /// forward.
         now: u64,
     },
-    /// Records how a claimed call ended.
+    /// Records the outcome of a claimed call.
     Settle {
         /// The call.
         id: ClaimId,
-        /// The attempt that held the claim.
+        /// The attempt that holds the claim.
         attempt: String,
-        /// How the call ended.
+        /// The outcome.
         state: ClaimState,
     },
 }
 
 impl Command {
-    /// Puts the clock of the log's leader, in seconds, in place of that of the
-    /// proposer, and moves the times that were set by it: a router whose clock
-    /// is ahead must not let the claims of others expire, nor one that is behind
-    /// its own.
+    /// Replaces the proposer's clock by the clock of the log's leader, in
+    /// seconds, and shifts the times that are based on it.
+    ///
+    /// Otherwise a router with a fast clock would let the claims of others
+    /// expire early, and one with a slow clock its own.
     #[must_use]
     pub fn with_leader_clock(mut self, clock: u64) -> Self {
         if let Self::Claim { claim, now, .. } = &mut self {
@@ -101,36 +106,37 @@
     }
 }
 
-/// What the log answers to a command.
+/// The result of applying a command.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The edit is in the tables from this revision on.
+    /// The edit is applied as of this revision.
     Accepted(Revision),
-    /// The tables changed since the edit was made.
+    /// The tables have changed since the revision that the edit is based on.
     Conflict {
-        /// The revision that the edit was made from.
+        /// The revision that the edit is based on.
         base: Revision,
-        /// The revision that the tables had reached.
+        /// The current revision of the tables.
         current: Revision,
     },
-    /// The tables would not be sound after the edit.
+    /// The tables would be invalid after the edit.
     Invalid(Findings),
-    /// The members of the data centre's cell cannot change yet; asking again
-    /// later helps.
+    /// The members of this data centre's cell cannot change yet. The command may
+    /// be retried later.
     Unsettled(Name),
-    /// The data centre may hold so many replicas, which may be fewer than it
-    /// wanted.
+    /// The number of replicas that the data centre may hold, which may be less
+    /// than requested.
     Allotted(u32),
-    /// The watermarks stand, unless a later owner has set its own.
+    /// Whether the watermarks were set. They are not if a later owner has set
+    /// its own.
     Marked(bool),
-    /// The whole configuration of this version is in force, which may be newer
-    /// than the one that was sent.
+    /// The version of the active configuration, which may be newer than the one
+    /// in the command.
     Replaced(u64),
     /// The caller holds the claim and may send the call once.
     Claimed,
-    /// The call was claimed before.
+    /// Another attempt has already claimed the call.
     Taken(Claim),
-    /// The end of the call is recorded.
+    /// The outcome of the call is recorded.
     Settled,
 }
--- a/crates/sequoiawing_tables/src/customer.rs
+++ b/crates/sequoiawing_tables/src/customer.rs
@@ -3,27 +3,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Someone whose keys admit requests and whose tokens are limited over the
-/// whole fleet.
+/// A customer, whose keys authorize requests and whose token usage is limited
+/// across the whole fleet.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Customer {
     /// The name, unique among customers.
     pub name: Name,
-    /// The tokens that the customer may use in a second.
+    /// The sustained rate limit, in tokens per second.
     pub rate: u64,
-    /// The tokens that the customer may use at once after a pause.
+    /// The burst size, in tokens.
     pub burst: u64,
-    /// The share of service beside other waiting customers.
+    /// The scheduling weight relative to other customers with queued requests.
     pub weight: u32,
-    /// The shares of rate and burst, in millionths, that data centres may use
-    /// when they are cut off; equal ones when none is named. Together at most
+    /// The shares of rate and burst, in millionths, that each data centre may
+    /// use while disconnected; equal shares if empty. The sum must not exceed
     /// one million.
     pub shares: BTreeMap<Name, Share>,
 }
 
 impl Customer {
-    /// Returns the customer's budget of tokens.
+    /// Returns the limits of the customer's token budget.
     pub fn limits(&self) -> Limits {
         Limits::tokens(self.rate, self.burst)
     }
--- a/crates/sequoiawing_tables/src/key.rs
+++ b/crates/sequoiawing_tables/src/key.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use subtle::ConstantTimeEq;
 
-/// The public part of a key, never used again once granted.
+/// The public part of a key. An identifier is never granted twice.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct KeyId(Name);
@@ -28,30 +28,31 @@
     }
 }
 
-/// A granted key at rest: only a hash of its secret is kept.
+/// A granted key as stored in the tables, with only a hash of its secret.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Key {
     /// The public part.
     pub id: KeyId,
-    /// The customer for whom requests with the key run.
+    /// The customer that requests with the key are attributed to.
     pub customer: Name,
-    /// The SHA-256 of the secret, in hexadecimal digits.
+    /// The SHA-256 hash of the secret, in hexadecimal.
     pub hash: String,
 }
 
 impl Key {
-    /// Reports whether `secret` belongs to the key, in a time that does not
-    /// depend on where the hashes differ.
+    /// Returns whether `secret` belongs to the key, using a constant-time
+    /// comparison.
     pub fn matches_secret(&self, secret: &str) -> bool {
         let presented = hash_secret(secret);
         presented.as_bytes().ct_eq(self.hash.as_bytes()).into()
     }
 }
 
-/// The prefix that marks a sequoiawing key, so that scanners can find leaks.
+/// The prefix of every sequoiawing key, so that secret scanners can detect
+/// leaked keys.
 const PREFIX: &str = "swk_";
 
-/// A key as its holder shows it: `swk_<id>_<secret>`.
+/// A key as sent by its holder: `swk_<id>_<secret>`.
 #[derive(Clone, Eq, PartialEq)]
 pub struct BearerKey {
     /// The public part.
@@ -61,7 +62,7 @@
 }
 
 impl BearerKey {
-    /// Draws a new key.
+    /// Generates a random key.
     pub fn random() -> Self {
         let id = hex::encode(rand::random::<[u8; 8]>());
         let secret = hex::encode(rand::random::<[u8; 24]>());
@@ -80,7 +81,7 @@
         Some(Self { id, secret })
     }
 
-    /// Returns what the tables keep of the key.
+    /// Returns the form of the key that is stored in the tables.
     pub fn to_stored_key(&self, customer: Name) -> Key {
         Key {
             id: self.id.clone(),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Returns the text that the holder shows.
+    /// Returns the full key, including the secret, as text.
     pub fn reveal(&self) -> String {
         format!("{PREFIX}{}_{}", self.id, self.secret)
     }
--- a/crates/sequoiawing_tables/src/lib.rs
+++ b/crates/sequoiawing_tables/src/lib.rs
@@ -1,7 +1,7 @@
-//! Routes, pools, customers and keys as one replicated state machine.
+//! The replicated state machine of routes, pools, customers and keys.
 //!
-//! [`Tables::apply`] is deterministic: every controller that applies the same
-//! commands in the same order holds the same tables and gives the same
+//! [`Tables::apply`] is deterministic: all controllers that apply the same
+//! commands in the same order hold the same tables and return the same
 //! outcomes. See [docs/ARCHITECTURE.md](../../../docs/ARCHITECTURE.md).
 
 mod allotment;
@@ -33,7 +33,7 @@
 pub use store::{ADAPTER_SLOTS, LOAD_SLOTS, LOAD_STARTS, Store};
 pub use tables::{Revision, Tables, Update};
 
-/// The types that users of the tables import most.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{Change, Command, Customer, Key, Outcome, Pool, Revision, Route, Tables};
 }
--- a/crates/sequoiawing_tables/src/membership.rs
+++ b/crates/sequoiawing_tables/src/membership.rs
@@ -2,28 +2,30 @@
 use sequoiawing_types::Name;
 
 impl Tables {
-    /// Returns the hosts of a data centre in the order of names.
+    /// Returns the hosts of a data centre, sorted by name.
     pub fn members<'a>(&'a self, centre: &'a Name) -> impl Iterator<Item = &'a RouterHost> {
         self.hosts.values().filter(move |h| h.centre == *centre)
     }
 
-    /// Returns how far the membership of a data centre's cell has come.
+    /// Returns the membership epoch of a data centre's cell.
     pub fn cell_epoch(&self, centre: &Name) -> CellEpoch {
         self.cells.get(centre).copied().unwrap_or_default()
     }
 
-    /// Adds a host to its cell, in steps that each wait for the former one.
+    /// Adds a host to its cell. Each membership change waits until the previous
+    /// one has settled.
     ///
-    /// A host that moved is first removed and then added.
+    /// A host whose data centre or address changed is first removed and then
+    /// added.
     pub(crate) fn join(&mut self, joining: RouterHost) -> Outcome {
-        let known = self.hosts.get(&joining.host).cloned();
-        if known.as_ref() == Some(&joining) {
+        let existing = self.hosts.get(&joining.host).cloned();
+        if existing.as_ref() == Some(&joining) {
             return Outcome::Accepted(self.revision);
         }
-        if let Some(former) = known {
-            let removed = self.retire(&former.host, false);
+        if let Some(previous) = existing {
+            let removed = self.retire(&previous.host, false);
             return match removed {
-                Outcome::Accepted(_) => Outcome::Unsettled(former.centre),
+                Outcome::Accepted(_) => Outcome::Unsettled(previous.centre),
                 other => other,
             };
         }
@@ -36,15 +38,16 @@
     /// Removes a host from its cell.
     ///
     /// The last member of a cell, and any member while an earlier change has
-    /// not settled, is removed only when the operator vouches that the host is
-    /// `dead`: nothing else keeps a cut-off host from leading on. With the last
-    /// member the data centre's replicas go to the others; the operator vouches
-    /// that its upstreams do not run either.
+    /// not settled, is removed only if the operator confirms that the host is
+    /// `dead`: nothing else prevents a disconnected host from continuing as
+    /// leader. Removing the last member releases the data centre's replicas to
+    /// the others; the operator thereby confirms that its upstreams do not run
+    /// either.
     pub(crate) fn retire(&mut self, host: &Name, dead: bool) -> Outcome {
-        let Some(known) = self.hosts.get(host) else {
+        let Some(member) = self.hosts.get(host) else {
             return Outcome::Accepted(self.revision);
         };
-        let centre = known.centre.clone();
+        let centre = member.centre.clone();
         let is_last = self.members(&centre).count() == 1;
         if !dead && (is_last || self.is_settling(&centre)) {
             return Outcome::Unsettled(centre);
@@ -56,7 +59,8 @@
         outcome
     }
 
-    /// Notes that a leader held its lease by a majority of the epoch.
+    /// Records that a leader acquired its lease from a majority of the epoch.
+    /// An epoch that is not the current one is ignored.
     pub(crate) fn settle_cell(&mut self, centre: Name, epoch: u64) -> Outcome {
         let cell = self.cell_epoch(&centre);
         if cell.settled || cell.epoch != epoch {
@@ -89,7 +93,8 @@
         cell.settled = false;
     }
 
-    /// Reports whether the cell has members whose last change has not settled.
+    /// Returns whether the cell has members and its last membership change has
+    /// not settled yet.
     fn is_settling(&self, centre: &Name) -> bool {
         let has_members = self.members(centre).next().is_some();
         has_members && !self.cell_epoch(centre).settled
--- a/crates/sequoiawing_tables/src/pool.rs
+++ b/crates/sequoiawing_tables/src/pool.rs
@@ -2,14 +2,14 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// What kind of upstream a pool holds.
+/// The kind of upstreams in a pool.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
-    /// Engines that load models and adapters on order.
+    /// Inference engines that load models and adapters on demand.
     #[default]
     Runners,
-    /// Plain services that are always ready.
+    /// Services without models, which are always ready.
     Services,
 }
 
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Model {
-    /// The name that callers ask for.
+    /// The name that callers request.
     pub name: Name,
     /// The accelerator memory of one replica, in MiB.
     pub memory: u64,
-    /// The most replicas over all data centres.
+    /// The maximum number of replicas across all data centres.
     pub replicas: u32,
-    /// Adapters that may be asked for as `model:adapter`.
+    /// The adapters that callers may request as `model:adapter`.
     pub adapters: Shared<Vec<Name>>,
 }
 
@@ -42,26 +42,26 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Pool {
-    /// The name that routes and announcing upstreams give.
+    /// The name that routes and upstream announcements refer to.
     pub name: Name,
-    /// What kind of upstream the pool holds.
+    /// The kind of upstreams in the pool.
     pub kind: PoolKind,
-    /// The data centres where upstreams may join; empty means all.
+    /// The data centres whose upstreams may join; all if empty.
     pub centres: Vec<Name>,
     /// The models that the pool's runners may load.
     pub models: Vec<Model>,
-    /// The longest time that an unused model stays loaded, in seconds; zero
-    /// leaves it to the learned keep-alive.
+    /// The maximum time that an unused model stays loaded, in seconds; zero
+    /// means that only the learned keep-alive applies.
     pub idle: u64,
 }
 
 impl Pool {
-    /// Returns the model of that name.
+    /// Returns the model with this name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|m| m.name.as_str() == name)
     }
 
-    /// Reports whether upstreams of the data centre may join.
+    /// Returns whether upstreams of the data centre may join.
     pub fn allows_centre(&self, centre: &Name) -> bool {
         self.centres.is_empty() || self.centres.contains(centre)
     }
--- a/crates/sequoiawing_tables/src/route.rs
+++ b/crates/sequoiawing_tables/src/route.rs
@@ -1,13 +1,13 @@
 use sequoiawing_types::Name;
 use serde::{Deserialize, Serialize};
 
-/// Who may use a route.
+/// The callers that may use a route.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Access {
-    /// Anyone, without a key.
+    /// Any caller; no key is required.
     Open,
-    /// The keys of these customers.
+    /// Callers with a key of one of these customers.
     Customers(Vec<Name>),
 }
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// Which callers may reach which models or services of a pool.
+/// A rule that maps requests to the models or services of a pool.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Route {
@@ -25,23 +25,24 @@
     pub name: Name,
     /// The path prefix that the route matches.
     pub prefix: String,
-    /// The `Host` header that the route matches; empty means any.
+    /// The `Host` header that the route matches; any if empty.
     pub host: String,
-    /// The models that may be asked for; empty means all of the pool.
+    /// The models that callers may request; all models of the pool if empty.
     pub models: Vec<Name>,
-    /// Who may use the route.
+    /// The callers that may use the route.
     pub access: Access,
     /// The pool that serves the route.
     pub pool: Name,
-    /// Whether a call may safely run more than once.
+    /// Whether calls are idempotent, so that they may run more than once.
     pub repeatable: bool,
-    /// Whether a broken stream is resumed at its offset.
+    /// Whether an interrupted stream is resumed at its offset.
     pub resumable: bool,
-    /// The deadline of a request that names none, in milliseconds.
+    /// The deadline of a request that does not set one, in milliseconds.
     pub deadline: u64,
 }
 
-/// The deadline of a request when neither caller nor route names one.
+/// The deadline of requests if neither caller nor route sets one, in
+/// milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
 impl Default for Route {
@@ -61,10 +62,10 @@
 }
 
 impl Route {
-    /// Reports whether the route matches a host and path.
+    /// Returns whether the route matches a host and path.
     ///
-    /// A prefix matches whole path segments only, so that `/act` does not
-    /// match `/action`.
+    /// A prefix matches whole path segments only: `/act` does not match
+    /// `/action`.
     pub fn matches(&self, host: &str, path: &str) -> bool {
         let host_matches = self.host.is_empty() || self.host.eq_ignore_ascii_case(host);
         host_matches && self.matches_path(path)
@@ -77,7 +78,7 @@
         rest.is_empty() || rest.starts_with(['/', '?']) || self.prefix.ends_with('/')
     }
 
-    /// Reports whether the route lets callers ask for the model.
+    /// Returns whether callers may request the model on this route.
     pub fn allows_model(&self, model: &str) -> bool {
         self.models.is_empty() || self.models.iter().any(|m| m.as_str() == model)
     }
--- a/crates/sequoiawing_tables/src/shared.rs
+++ b/crates/sequoiawing_tables/src/shared.rs
@@ -4,16 +4,17 @@
     sync::Arc,
 };
 
-/// A part of the tables that copies share until one of them changes it.
+/// A copy-on-write part of the tables.
 ///
-/// A copy of the tables is made for each change; without sharing it would cost
-/// as much as all of them, as docs/CAPACITY.md shows.
+/// The tables are copied for each change. Copies share the parts that they do
+/// not modify; otherwise each change would cost a full copy, as
+/// docs/CAPACITY.md shows.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct Shared<T>(Arc<T>);
 
 impl<T> Shared<T> {
-    /// Returns the part for those who keep it longer than the tables.
+    /// Returns a reference-counted handle that may outlive the tables.
     pub fn to_arc(&self) -> Arc<T> {
         self.0.clone()
     }
--- a/crates/sequoiawing_tables/src/store.rs
+++ b/crates/sequoiawing_tables/src/store.rs
@@ -3,21 +3,22 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
-/// What the weight store bears from all data centres together.
+/// The capacity limits of the weight store across all data centres.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Store {
-    /// The loads that may be started in a second.
+    /// The maximum number of loads started per second.
     pub starts: u64,
-    /// The loads that the store serves at full speed at once.
+    /// The number of concurrent loads that the store serves at full speed.
     pub slots: u64,
-    /// The adapter loads that may be in flight.
+    /// The maximum number of adapter loads in flight.
     pub adapters: u64,
-    /// The longest time that a load takes from its order on, in seconds. What a
-    /// data centre that fell silent had begun counts for so long.
+    /// The maximum time from the order of a load to its end, in seconds. The
+    /// loads of a data centre that no longer responds are counted for this
+    /// long.
     pub longest: u64,
-    /// The shares of all these, in millionths, that data centres may use when
-    /// they are cut off; equal ones when none is named. Together at most one
+    /// The shares of these limits, in millionths, that each data centre may use
+    /// while disconnected; equal shares if empty. The sum must not exceed one
     /// million.
     pub shares: BTreeMap<Name, Share>,
 }
@@ -34,19 +35,21 @@
     }
 }
 
-/// The budget of load starts. Customers cannot have such a name.
+/// The name of the budget of load starts. The colon keeps it apart from
+/// customers, since it is not valid in their names.
 pub const LOAD_STARTS: &str = "fleet:load-starts";
 
-/// The budget of loads at once.
+/// The name of the budget of concurrent loads.
 pub const LOAD_SLOTS: &str = "fleet:load-slots";
 
-/// The budget of adapter loads in flight.
+/// The name of the budget of adapter loads in flight.
 pub const ADAPTER_SLOTS: &str = "fleet:adapter-slots";
 
 impl Store {
-    /// Returns the budgets by name.
+    /// Returns the budgets with their names, limits and timing.
     ///
-    /// A start is over at once; only what holds a slot goes on after its lease.
+    /// A load start completes immediately. A load or adapter load that holds a
+    /// slot can outlast its lease, so the timing of slots has an overrun.
     pub fn budgets(&self) -> [(Name, Limits, Timing); 3] {
         let slots = Timing {
             overrun: Duration::from_secs(self.longest),
--- a/crates/sequoiawing_tables/src/tables.rs
+++ b/crates/sequoiawing_tables/src/tables.rs
@@ -12,7 +12,7 @@
     sync::Arc,
 };
 
-/// A version of the tables; each accepted edit makes the next one.
+/// A version of the tables, which every committed change increments.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
@@ -25,15 +25,16 @@
     }
 }
 
-/// How many edits keep their outcome for a resend.
+/// The number of recent edits whose outcomes are kept to answer resends.
 const MAX_RECENT_EDITS: usize = 4_096;
 
-/// How many revisions a follower may be behind and still get the changes alone.
+/// The number of recent revisions whose changes are kept. A follower that is
+/// further behind receives the full tables.
 const MAX_RECENT_REVISIONS: usize = 512;
 
-/// The replicated state behind all routers.
+/// The replicated state that all routers work from.
 ///
-/// Its copies share the maps that none of them has changed.
+/// Copies share the maps that they do not modify.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Tables {
@@ -45,21 +46,21 @@
     pub pools: Shared<BTreeMap<Name, Pool>>,
     /// The routes by name.
     pub routes: Shared<BTreeMap<Name, Route>>,
-    /// What the weight store bears.
+    /// The capacity limits of the weight store.
     pub store: Store,
     /// The granted keys by identifier.
     pub keys: Shared<BTreeMap<KeyId, Key>>,
-    /// The withdrawn keys; a set that only grows.
+    /// The revoked keys. Keys are never removed from this set.
     pub withdrawn: Shared<BTreeSet<KeyId>>,
-    /// The upstreams that operators keep new work from.
+    /// The upstreams that operators have drained, which receive no new requests.
     pub drained: BTreeSet<Name>,
-    /// The hosts that run routers, by name.
+    /// The hosts that run routers by name.
     pub hosts: Shared<BTreeMap<Name, RouterHost>>,
-    /// How far the membership of each data centre's cell has come.
+    /// The membership epoch of each data centre's cell.
     pub cells: BTreeMap<Name, CellEpoch>,
-    /// The whole configuration in force; version zero for none.
+    /// The active configuration; version zero if there is none.
     pub catalog: Arc<Catalog>,
-    /// The text in which the operator sent it.
+    /// The source text of the configuration, as sent by the operator.
     text: Arc<str>,
     #[serde(with = "pairs")]
     allotments: BTreeMap<(Name, Name), Allotments>,
@@ -71,7 +72,7 @@
     recent: VecDeque<Arc<[Change]>>,
 }
 
-/// What leads a follower from its revision to a newer one.
+/// An update that brings a follower to a newer revision.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Update {
@@ -82,7 +83,7 @@
         /// The changes of each revision.
         revisions: Vec<Arc<[Change]>>,
     },
-    /// The whole tables, for a follower that is too far behind.
+    /// The full tables, for a follower that is too far behind.
     #[serde(rename = "whole")]
     Full(Box<Tables>),
 }
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Returns a copy with only what routers need: no claims, allotments or
-    /// remembered edits.
+    /// Returns a copy with only the parts that routers need, without claims,
+    /// allotments and recent edits.
     #[must_use]
     pub fn published(&self) -> Self {
         Self {
@@ -140,25 +141,25 @@
         }
     }
 
-    /// Reports whether the key may still be used.
+    /// Returns whether the key has been revoked.
     pub fn is_withdrawn(&self, key: &KeyId) -> bool {
         self.withdrawn.contains(key)
     }
 
-    /// Returns the matching route with the longest prefix, one with a host
-    /// before one without.
+    /// Returns the matching route with the longest prefix. Routes with a host
+    /// take precedence over routes without one.
     pub fn route_for(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let matching = self.routes.values().filter(|r| r.matches(name, path));
         matching.max_by_key(|r| (!r.host.is_empty(), r.prefix.len()))
     }
 
-    /// Checks the tables as a whole and returns every finding.
+    /// Validates the tables and returns all findings.
     pub fn check(&self) -> Findings {
         check_tables(self)
     }
 
-    /// Returns the whole configuration in force, with its text.
+    /// Returns the active configuration with its source text.
     pub fn document(&self) -> Document {
         Document {
             catalog: self.catalog.clone(),
@@ -166,13 +167,14 @@
         }
     }
 
-    /// Puts a configuration in force unless the present one is as new.
+    /// Replaces the configuration, unless the current version is the same or
+    /// newer.
     fn replace(&mut self, document: Document) -> Outcome {
         if document.catalog.version > self.catalog.version {
             let Document { catalog, text } = document;
             self.commit(vec![Change::PutCatalog(catalog)]);
-            // Followers that are behind get the tables whole, since hundreds of
-            // former configurations would be kept for them.
+            // Otherwise hundreds of old configurations would be kept for
+            // followers that are behind. These receive the full tables.
             self.recent.clear();
             self.text = text;
         }
@@ -220,7 +222,7 @@
         self.commit(changes)
     }
 
-    /// Makes changes that were found sound, as the next revision.
+    /// Applies validated changes as the next revision.
     pub(crate) fn commit<C>(&mut self, changes: C) -> Outcome
     where
         C: Into<Arc<[Change]>>,
@@ -230,7 +232,10 @@
         for change in changes.iter() {
             self.apply_change(change.clone(), &mut findings);
         }
-        debug_assert!(findings.is_empty(), "the changes were checked: {findings}");
+        debug_assert!(
+            findings.is_empty(),
+            "committed changes are invalid: {findings}"
+        );
         self.revision = Revision(self.revision.0 + 1);
         self.recent.push_back(changes);
         if self.recent.len() > MAX_RECENT_REVISIONS {
@@ -239,26 +244,26 @@
         Outcome::Accepted(self.revision)
     }
 
-    /// Returns what leads a follower from `revision` to this one; nothing when
-    /// it is as new or newer.
+    /// Returns the update from `revision` to the current revision, or `None` if
+    /// `revision` is not older.
     pub fn update_from(&self, revision: Revision) -> Option<Update> {
         let behind = self.revision.0.checked_sub(revision.0).filter(|b| *b > 0)?;
-        let remembered = self.recent.len();
-        let behind = usize::try_from(behind).ok().filter(|b| *b <= remembered);
+        let available = self.recent.len();
+        let behind = usize::try_from(behind).ok().filter(|b| *b <= available);
         let Some(behind) = behind else {
             return Some(Update::Full(Box::new(self.published())));
         };
-        let newer = self.recent.iter().skip(remembered - behind);
+        let newer = self.recent.iter().skip(available - behind);
         Some(Update::Changes {
             base: revision,
             revisions: newer.cloned().collect(),
         })
     }
 
-    /// Brings a follower's copy to the revision behind an update.
+    /// Applies an update to a follower's copy.
     ///
-    /// Whole tables that are not newer, and changes of another revision than
-    /// this one, change nothing.
+    /// Full tables that are not newer and changes based on another revision are
+    /// ignored.
     pub fn apply_update(&mut self, update: Update) {
         match update {
             Update::Full(tables) if tables.revision > self.revision => *self = *tables,
@@ -318,30 +323,30 @@
     }
 
     fn grant_key(&mut self, key: Key, findings: &mut Findings) {
-        let used = self.keys.contains_key(&key.id) || self.withdrawn.contains(&key.id);
-        if used {
+        let was_granted = self.keys.contains_key(&key.id) || self.withdrawn.contains(&key.id);
+        if was_granted {
             findings.push(format!("keys.{}", key.id), "was granted before");
             return;
         }
         self.keys.insert(key.id.clone(), key);
     }
 
-    /// Returns the replicas of a model that the data centres may hold.
+    /// Returns the allotments of a model by data centre.
     pub fn allotments(&self, pool: &Name, model: &Name) -> Option<&Allotments> {
         self.allotments.get(&(pool.clone(), model.clone()))
     }
 
-    /// Counts the claims that are remembered.
+    /// Returns the number of stored claims.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns the watermarks of the budgets that were ever lent from.
+    /// Returns the watermarks of all budgets that credit was ever lent from.
     pub fn watermarks(&self) -> &BTreeMap<Name, Watermark> {
         &self.budgets
     }
 
-    /// Sets watermarks, unless a later owner has.
+    /// Sets the watermarks, unless an owner with a later term has set its own.
     fn set_watermarks(&mut self, term: u64, marks: BTreeMap<Name, Watermark>) -> bool {
         if term < self.budget_term {
             return false;
@@ -351,7 +356,7 @@
         true
     }
 
-    /// Takes away all replicas of a data centre.
+    /// Revokes all allotments of a data centre.
     pub(crate) fn revoke_allotments(&mut self, centre: &Name) {
         for allotments in self.allotments.values_mut() {
             allotments.revoke(centre);
@@ -359,15 +364,15 @@
     }
 
     fn replica_limit(&self, pool: &Name, model: &Name) -> u32 {
-        let found = self.pools.get(pool).and_then(|p| p.model(model.as_str()));
-        found.map_or(0, |m| m.replicas)
+        let configured = self.pools.get(pool).and_then(|p| p.model(model.as_str()));
+        configured.map_or(0, |m| m.replicas)
     }
 
     fn claim(&mut self, id: ClaimId, claim: Claim, now: u64) -> Outcome {
         self.clock = self.clock.max(now);
         let clock = self.clock;
-        let stands = |c: &&Claim| c.expiry > clock && c.state != ClaimState::Ended(Ran::No);
-        if let Some(held) = self.claims.get(&id).filter(stands) {
+        let is_active = |c: &&Claim| c.expiry > clock && c.state != ClaimState::Ended(Ran::No);
+        if let Some(held) = self.claims.get(&id).filter(is_active) {
             if held.attempt == claim.attempt {
                 return Outcome::Claimed;
             }
@@ -393,7 +398,8 @@
     }
 }
 
-/// Keeps a map with structured keys as a list of pairs, which JSON can hold.
+/// Serializes a map with structured keys as a list of pairs, since JSON object
+/// keys must be strings.
 mod pairs {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::collections::BTreeMap;
--- a/crates/sequoiawing_tables/tests/allotments.rs
+++ b/crates/sequoiawing_tables/tests/allotments.rs
@@ -1,10 +1,11 @@
-//! Allotted replicas: the sum is bounded, and late commands change nothing.
+//! Tests that the sum of the allotments is bounded and that outdated commands
+//! are ignored.
 
 use sequoiawing_tables::{Change, Command, Model, Outcome, Pool, RouterHost, Tables};
 use sequoiawing_types::{Name, RequestId};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Returns tables with a model that may have two replicas in all.
+/// Returns tables with a model that is limited to two replicas.
 fn tables() -> Tables {
     let model = Model {
         name: Name::from("caption"),
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn the_sum_over_all_data_centres_never_passes_the_replicas() {
+fn sum_of_allotments_never_exceeds_replica_limit() {
     let mut tables = tables();
     assert_eq!(allot(&mut tables, "north", 1, 1, 5), 2);
     assert_eq!(allot(&mut tables, "south", 1, 1, 1), 0);
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_late_lowering_does_not_undo_a_later_raise() {
+fn late_decrease_does_not_undo_newer_increase() {
     let mut tables = tables();
     assert_eq!(allot(&mut tables, "north", 1, 1, 2), 2);
     assert_eq!(allot(&mut tables, "north", 1, 3, 2), 2);
@@ -60,14 +61,14 @@
 }
 
 #[test]
-fn a_former_leader_changes_nothing() {
+fn former_leader_changes_nothing() {
     let mut tables = tables();
     assert_eq!(allot(&mut tables, "north", 2, 1, 2), 2);
     assert_eq!(allot(&mut tables, "north", 1, 9, 0), 2);
 }
 
 #[test]
-fn a_command_that_is_applied_twice_counts_once() {
+fn command_applied_twice_counts_once() {
     let mut tables = tables();
     assert_eq!(allot(&mut tables, "north", 1, 1, 1), 1);
     assert_eq!(allot(&mut tables, "north", 1, 1, 1), 1);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_data_centre_without_hosts_leaves_its_replicas_to_others() {
+fn data_centre_without_hosts_releases_its_replicas() {
     let mut tables = tables();
     tables.apply(Command::Join(RouterHost {
         host: Name::from("entry"),
@@ -91,5 +92,5 @@
     assert_eq!(allot(&mut tables, "south", 1, 1, 1), 0);
     assert!(matches!(tables.apply(retire(true)), Outcome::Accepted(_)));
     assert_eq!(allot(&mut tables, "south", 1, 2, 2), 2);
-    assert_eq!(allot(&mut tables, "north", 1, 1, 2), 0, "a late order");
+    assert_eq!(allot(&mut tables, "north", 1, 1, 2), 0, "outdated command");
 }
--- a/crates/sequoiawing_tables/tests/claims.rs
+++ b/crates/sequoiawing_tables/tests/claims.rs
@@ -1,11 +1,10 @@
-//! Claims of calls that run at most once: when they are forgotten, and by whose
-//! clock.
+//! Tests when claims of calls that run at most once expire, and by which clock.
 
 use sequoiawing_tables::{Claim, ClaimId, ClaimState, Command, Outcome, Tables};
 use sequoiawing_types::{Name, Ran};
 
-/// Returns the claim of an attempt that a router whose clock shows `now` makes
-/// for a minute.
+/// Returns the command by which a router with its clock at `now` claims a call
+/// for 60 seconds.
 fn claim(key: &str, attempt: &str, now: u64) -> Command {
     Command::Claim {
         id: id(key),
@@ -37,18 +36,22 @@
 }
 
 #[test]
-fn claims_are_forgotten_when_they_expire() {
+fn expired_claims_are_removed() {
     let mut tables = Tables::default();
     for i in 0..100 {
         assert!(is_claimed(&mut tables, claim(&format!("k{i}"), "a", i)));
     }
     assert!(!is_claimed(&mut tables, claim("k70", "b", 120)));
     assert!(is_claimed(&mut tables, claim("k20", "b", 120)));
-    assert_eq!(tables.claim_count(), 40, "39 that last, and the new one");
+    assert_eq!(
+        tables.claim_count(),
+        40,
+        "39 unexpired claims and the new one"
+    );
 }
 
 #[test]
-fn a_claim_in_place_of_one_that_did_not_run_lasts_its_own_time() {
+fn claim_that_replaces_unexecuted_one_keeps_its_own_expiry() {
     let mut tables = Tables::default();
     assert!(is_claimed(&mut tables, claim("k", "a", 0)));
     tables.apply(Command::Settle {
@@ -62,49 +65,49 @@
 }
 
 #[test]
-fn a_snapshot_keeps_when_claims_expire() {
+fn snapshot_preserves_claim_expiry() {
     let mut tables = Tables::default();
     assert!(is_claimed(&mut tables, claim("early", "a", 0)));
     assert!(is_claimed(&mut tables, claim("late", "a", 30)));
-    let json = serde_json::to_string(&tables).expect("tables are JSON");
-    let mut read: Tables = serde_json::from_str(&json).expect("they are read back");
-    assert_eq!(read, tables);
-    assert!(is_claimed(&mut read, claim("new", "b", 70)));
-    assert_eq!(read.claim_count(), 2, "one has expired");
-    assert!(!is_claimed(&mut read, claim("late", "b", 70)));
+    let json = serde_json::to_string(&tables).expect("tables serialize to JSON");
+    let mut restored: Tables = serde_json::from_str(&json).expect("tables deserialize from JSON");
+    assert_eq!(restored, tables);
+    assert!(is_claimed(&mut restored, claim("new", "b", 70)));
+    assert_eq!(restored.claim_count(), 2, "one claim has expired");
+    assert!(!is_claimed(&mut restored, claim("late", "b", 70)));
 }
 
-/// The clock of the log's leader in these tests.
-const LEADER: u64 = 1_000_000;
+/// The clock of the log's leader, in seconds.
+const LEADER_CLOCK: u64 = 1_000_000;
 
 #[test]
-fn a_router_years_ahead_expires_no_claim() {
+fn router_with_fast_clock_does_not_expire_claims() {
     let mut tables = Tables::default();
     assert!(is_claimed(
         &mut tables,
-        claim("k", "a", LEADER).with_leader_clock(LEADER)
+        claim("k", "a", LEADER_CLOCK).with_leader_clock(LEADER_CLOCK)
     ));
-    let ahead = claim("other", "b", LEADER * 1_000).with_leader_clock(LEADER + 1);
+    let ahead = claim("other", "b", LEADER_CLOCK * 1_000).with_leader_clock(LEADER_CLOCK + 1);
     assert!(is_claimed(&mut tables, ahead));
     assert!(!is_claimed(
         &mut tables,
-        claim("k", "c", LEADER).with_leader_clock(LEADER + 2)
+        claim("k", "c", LEADER_CLOCK).with_leader_clock(LEADER_CLOCK + 2)
     ));
 }
 
 #[test]
-fn the_claim_of_a_router_years_behind_lasts_as_long() {
+fn claim_of_router_with_slow_clock_keeps_its_lifetime() {
     let mut tables = Tables::default();
     assert!(is_claimed(
         &mut tables,
-        claim("k", "a", 5).with_leader_clock(LEADER)
+        claim("k", "a", 5).with_leader_clock(LEADER_CLOCK)
     ));
     assert!(!is_claimed(
         &mut tables,
-        claim("k", "b", LEADER).with_leader_clock(LEADER + 59)
+        claim("k", "b", LEADER_CLOCK).with_leader_clock(LEADER_CLOCK + 59)
     ));
     assert!(is_claimed(
         &mut tables,
-        claim("k", "c", LEADER).with_leader_clock(LEADER + 60)
+        claim("k", "c", LEADER_CLOCK).with_leader_clock(LEADER_CLOCK + 60)
     ));
 }
--- a/crates/sequoiawing_tables/tests/shared.rs
+++ b/crates/sequoiawing_tables/tests/shared.rs
@@ -1,4 +1,4 @@
-//! Checks what copies of the tables share.
+//! Tests that copies of the tables share unmodified parts.
 
 use sequoiawing_tables::{Change, Command, Outcome, Pool, Route, Tables};
 use sequoiawing_types::{Name, RequestId};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_copy_shares_all_but_what_it_changes() {
+fn copy_shares_unmodified_parts() {
     let before = tables();
     let mut after = before.clone();
     edit(&mut after, Change::PutRoute(route()));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_change_of_a_copy_leaves_the_other_as_it_was() {
+fn change_of_copy_does_not_affect_original() {
     let before = tables();
     let mut after = before.clone();
     edit(&mut after, Change::PutRoute(route()));
