--- a/crates/sequoiawing_tables/src/allotment.rs
+++ b/crates/sequoiawing_tables/src/allotment.rs
@@ -54,12 +54,12 @@
             return entry.count;
         }
         let available = limit.saturating_sub(others);
-        let count = want.min(available.max(entry.count));
+        let granted = want.min(available.max(entry.count));
         *entry = Allotment {
             term: order.0,
             serial: order.1,
-            count,
+            count: granted,
         };
-        count
+        granted
     }
 }
