--- a/crates/sequoiawing_link/src/hub.rs
+++ b/crates/sequoiawing_link/src/hub.rs
@@ -164,8 +164,8 @@
     pub settled: bool,
     /// The number of gateways.
     pub gateways: u32,
-    /// The number of gateways that stopped reporting without announcing their
-    /// shutdown.
+    /// The number of these gateways that stopped reporting without announcing
+    /// their shutdown.
     pub missing: u32,
     /// The leader's orders, as far as the hub knows them.
     pub ordered: Option<OrderedLoads>,
