--- a/crates/sequoiawing_controller/src/daemon.rs
+++ b/crates/sequoiawing_controller/src/daemon.rs
@@ -10,7 +10,7 @@
 use sequoiawing_consensus::{
     DiskStorage, LogStorage, ReplicaId, ReplicaSettings, StorageError, StorageLimits,
 };
-use sequoiawing_link::{Control, LinkListener, Secret, answer_calls};
+use sequoiawing_link::{Control, LinkListener, Secret, connection_handler};
 use sequoiawing_runtime::{Clock, Shutdown, Watch, sleep, spawn, timeout};
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
--- a/crates/sequoiawing_controller/src/handle.rs
+++ b/crates/sequoiawing_controller/src/handle.rs
@@ -39,7 +39,7 @@
     /// fails, or it is unknown whether the command was committed. In the last case
     /// an edit can be retried safely: the same request ID gets the original outcome.
     pub async fn propose(&self, command: &Command) -> Result<Outcome, ControlError> {
-        let json = serde_json::to_string(&command.clone().stamped(wall_clock()));
+        let json = serde_json::to_string(&command.clone().with_leader_clock(wall_clock()));
         let json = json.map_err(|e| ControlError::Storage(e.to_string()))?;
         let command = Arc::from(json);
         self.request(|reply| Request::Propose { command, reply })
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -5,7 +5,7 @@
 use sequoiawing_catalog::{Catalog, CatalogCustomer, CatalogIndex};
 use sequoiawing_fleet::{Cursor, Interest, Roster, RosterEntry};
 use sequoiawing_http::Client as HttpClient;
-use sequoiawing_link::{DemandBatch, HubNews, ModelDemand, OrderedLoads, PlannedLoad};
+use sequoiawing_link::{DemandBatch, ModelDemand, OrderedLoads, PlannedLoad, SyncReply};
 use sequoiawing_policy::serving::{
     Assignment, AttemptOutcome, Balancer, BalancerRequest, HubRole, HubSelector, HubStatus,
     PeerView, PickResult, ReportedLoad, RetryWindow, SharedTokenBucket,
@@ -409,7 +409,7 @@
     pub(crate) fn apply_hub_update(
         &self,
         hub: SocketAddr,
-        update: HubNews,
+        update: SyncReply,
         reported: &[(Name, u64)],
     ) {
         let now = self.now();
--- a/crates/sequoiawing_link/src/handshake/tests.rs
+++ b/crates/sequoiawing_link/src/handshake/tests.rs
@@ -1,4 +1,4 @@
-use super::{agree, hello, release};
+use super::{hello, negotiate_format, release};
 use crate::Format;
 
 macro_rules! cases {
@@ -6,14 +6,14 @@
         #[test]
         fn $name() {
             let (ours, theirs) = (hello(release($ours)), hello(release($theirs)));
-            assert_eq!(agree(&ours, &theirs), $format);
-            assert_eq!(agree(&theirs, &ours), $format);
+            assert_eq!(negotiate_format(&ours, &theirs), $format);
+            assert_eq!(negotiate_format(&theirs, &ours), $format);
         }
     )*};
 }
 
 cases! {
-    one_release_speaks_binary: "0.1.0", "0.1.0" => Format::Binary;
-    different_releases_speak_json: "0.1.0", "0.2.0" => Format::Json;
-    a_version_that_begins_alike_is_another: "0.1.0", "0.1.0-rc.1" => Format::Json;
+    same_release_uses_binary: "0.1.0", "0.1.0" => Format::Binary;
+    different_releases_use_json: "0.1.0", "0.2.0" => Format::Json;
+    versions_with_common_prefix_differ: "0.1.0", "0.1.0-rc.1" => Format::Json;
 }
--- a/crates/sequoiawing_link/src/stub.rs
+++ b/crates/sequoiawing_link/src/stub.rs
@@ -16,12 +16,12 @@
 };
 use tarpc::{client::RpcError, context, context::Context};
 
-/// How long connecting and proving the secret may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+/// The time limit for connecting, including the handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A generated client that can be built over an authenticated connection.
+/// A generated client that can be started on an authenticated connection.
 pub trait Connect: Clone + Send + Sync + 'static {
-    /// Starts the client over the connection.
+    /// Starts the client on the connection.
     fn start(connection: Connection) -> Self;
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A client that connects on its first call and again after a failure.
+/// A client that connects on its first call and reconnects after a failure.
 ///
 /// Clones share the connection.
 #[derive(Clone)]
@@ -63,7 +63,7 @@
 where
     C: Connect,
 {
-    /// Returns a client that has not connected yet.
+    /// Creates a client that is not connected yet.
     pub fn new(address: SocketAddr, secret: Secret) -> Self {
         let client = Arc::new(Mutex::new(None));
         Self {
@@ -78,14 +78,15 @@
         self.address
     }
 
-    /// Makes one call, connecting first when necessary.
+    /// Makes one call, connecting first if necessary.
     ///
-    /// The call is never sent twice: after an error it may have been carried
-    /// out.
+    /// The call is never retried, since it may have been executed despite an
+    /// error.
     ///
     /// # Errors
     ///
-    /// Returns an error when no answer came within `limit`.
+    /// Returns an error if the connection or the call fails, or if no reply
+    /// arrives within `limit`.
     pub async fn call<F, R, T>(&self, limit: Duration, make: F) -> Result<T, LinkError>
     where
         F: FnOnce(C, Context) -> R + Send,
@@ -97,7 +98,7 @@
             millis: limit.as_millis(),
         };
         let work = async {
-            let client = self.connected().await?;
+            let client = self.get_or_connect().await?;
             let mut context = context::current();
             context.deadline = Instant::now() + limit;
             let result = Compat::new(Box::pin(make(client, context))).await;
@@ -118,26 +119,27 @@
         Err(failed)
     }
 
-    async fn connected(&self) -> Result<C, LinkError> {
+    async fn get_or_connect(&self) -> Result<C, LinkError> {
         let mut client = self.client.lock().await;
         if let Some(connected) = &*client {
             return Ok(connected.clone());
         }
-        let connecting = timeout(CONNECT_LIMIT, self.connect()).await;
-        let connected = connecting.ok_or_else(|| self.broken(io::ErrorKind::TimedOut.into()))??;
+        let connecting = timeout(CONNECT_TIMEOUT, self.connect()).await;
+        let connected =
+            connecting.ok_or_else(|| self.connection_error(io::ErrorKind::TimedOut.into()))??;
         *client = Some(connected.clone());
         Ok(connected)
     }
 
     async fn connect(&self) -> Result<C, LinkError> {
         let connecting = TcpStream::connect(self.address).await;
-        let mut stream = connecting.map_err(|e| self.broken(e))?;
+        let mut stream = connecting.map_err(|e| self.connection_error(e))?;
         stream.set_nodelay(true).ok();
-        let format = handshake::greet(&mut stream, &self.secret).await?;
+        let format = handshake::initiate(&mut stream, &self.secret).await?;
         Ok(C::start(Connection { stream, format }))
     }
 
-    fn broken(&self, source: io::Error) -> LinkError {
+    fn connection_error(&self, source: io::Error) -> LinkError {
         let address = self.address.to_string();
         LinkError::Connection { address, source }
     }
--- a/crates/sequoiawing_router/src/controllers/relay.rs
+++ b/crates/sequoiawing_router/src/controllers/relay.rs
@@ -177,7 +177,7 @@
     relayed
 }
 
-async fn exchange(peer: &PeerLink, batch: UpstreamBatch) -> Option<Missing> {
+async fn exchange(peer: &PeerLink, batch: UpstreamBatch) -> Option<ExchangeReply> {
     let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
         client.exchange(context, batch).await
     });
@@ -192,7 +192,7 @@
 
 impl RouterState {
     /// Returns a batch with what another router asked to be sent whole.
-    fn whole(&self, missing: &Missing, spread: bool) -> UpstreamBatch {
+    fn whole(&self, missing: &ExchangeReply, spread: bool) -> UpstreamBatch {
         let registry = self.registry.lock();
         let states = missing.indexes.iter();
         let states = states.filter_map(|index| registry.relayed_by_index(*index));
