--- a/crates/sequoiawing_controller/src/budgets.rs
+++ b/crates/sequoiawing_controller/src/budgets.rs
@@ -233,7 +233,7 @@
         let mut owned = Self {
             term,
             lenders: BTreeMap::new(),
-            committed_marks: tables.budgets().clone(),
+            committed_marks: tables.watermarks().clone(),
             revision: Revision::default(),
             is_proposing: false,
         };
--- a/crates/sequoiawing_controller/src/daemon.rs
+++ b/crates/sequoiawing_controller/src/daemon.rs
@@ -100,7 +100,7 @@
             handle: handle.clone(),
             budgets: Budgets::start(handle.clone(), shutdown.clone()),
         };
-        spawn(listener.serve(answer_calls!(service.serve()), shutdown.clone())).detach();
+        spawn(listener.serve(connection_handler!(service.serve()), shutdown.clone())).detach();
         log::info!(target: "controller", "Listening for routers and operators at {link}.");
         let controller = Self {
             shutdown,
--- a/crates/sequoiawing_controller/src/state_machine.rs
+++ b/crates/sequoiawing_controller/src/state_machine.rs
@@ -59,7 +59,7 @@
         };
         let mut next = Tables::clone(&published);
         drop(published);
-        next.update(update);
+        next.apply_update(update);
         self.published.set(Arc::new(next));
     }
 }
--- a/crates/sequoiawing_controller/src/transport.rs
+++ b/crates/sequoiawing_controller/src/transport.rs
@@ -39,7 +39,7 @@
     pub(crate) fn send(&mut self, to: SocketAddr, envelope: Envelope) {
         let queue = self.queues.entry(to).or_insert_with(|| {
             let (sender, receiver) = async_channel::bounded(MAX_QUEUED);
-            let stub = Stub::new(self.translations.reach(to), self.secret.clone());
+            let stub = Stub::new(self.translations.translate(to), self.secret.clone());
             let shutdown = self.shutdown.clone();
             let sender_task = async move { shutdown.or(send_all(stub, receiver)).await };
             spawn(sender_task).detach();
--- a/crates/sequoiawing_link/src/hub.rs
+++ b/crates/sequoiawing_link/src/hub.rs
@@ -190,11 +190,11 @@
 /// The reply of a hub to a [`MirrorRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct MirrorNews {
+pub struct MirrorReply {
     /// What is new in the roster.
     pub roster: RosterUpdate,
     /// What gateways told the hub itself.
-    pub uses: Vec<GatewayUse>,
+    pub uses: Vec<GatewayUsage>,
     /// How far that goes.
     pub stamp: u64,
     /// The hub's orders, if its controller is the leader of the log.
--- a/crates/sequoiawing_link/src/peer.rs
+++ b/crates/sequoiawing_link/src/peer.rs
@@ -77,7 +77,7 @@
     async fn recalled(borrower: Name, wait: u64) -> Vec<Name>;
     /// Takes in what another router learnt of upstreams, and returns what must
     /// be sent whole.
-    async fn exchange(batch: UpstreamBatch) -> Missing;
+    async fn exchange(batch: UpstreamBatch) -> ExchangeReply;
     /// Asks the cell leader for a model.
     async fn demand(demands: Vec<Demand>) -> Vec<DemandStatus>;
     /// Answers another member of the data centre's cell.
--- a/crates/sequoiawing_link/tests/codec.rs
+++ b/crates/sequoiawing_link/tests/codec.rs
@@ -1,7 +1,9 @@
 //! Tests that messages survive a round trip in both formats.
 
 use sequoiawing_fleet::{LoadDelta, Publisher, Rank, RelayedState, Source, UpstreamState};
-use sequoiawing_link::{BudgetReplies, ControlError, Follow, Format, Published, UpstreamBatch};
+use sequoiawing_link::{
+    BudgetReplies, ControlError, FollowReply, FollowRequest, Format, UpstreamBatch,
+};
 use sequoiawing_tables::{Change, Command, Customer, Key, KeyId, Outcome, Revision, Tables};
 use sequoiawing_types::{Findings, Name, Ran, RequestId};
 use serde::{Serialize, de::DeserializeOwned};
--- a/crates/sequoiawing_router/src/controllers/relay.rs
+++ b/crates/sequoiawing_router/src/controllers/relay.rs
@@ -1,6 +1,6 @@
 use crate::{Controller, RouterState, controllers::summarise::Speaker, peers::PeerLink};
 use sequoiawing_fleet::{LoadDelta, RelayedState, Summary};
-use sequoiawing_link::{Missing, UpstreamBatch};
+use sequoiawing_link::{ExchangeReply, UpstreamBatch};
 use sequoiawing_runtime::{Shutdown, sleep, spawn};
 use sequoiawing_types::{Name, Time};
 use std::{
--- a/crates/sequoiawing_router/src/controllers/take_in.rs
+++ b/crates/sequoiawing_router/src/controllers/take_in.rs
@@ -2,7 +2,7 @@
 
 use crate::RouterState;
 use sequoiawing_fleet::{Renewal, Source, Summary, UpdateOutcome, UpstreamState};
-use sequoiawing_link::{Missing, UpstreamBatch};
+use sequoiawing_link::{ExchangeReply, UpstreamBatch};
 use sequoiawing_types::{Name, Time};
 
 impl RouterState {
