--- a/benches/request_path.rs
+++ b/benches/request_path.rs
@@ -1,9 +1,9 @@
-//! Measures what a router adds to a request, by hand: `cargo bench --bench
+//! Measures the overhead that a router adds to a request: `cargo bench --bench
 //! request_path`.
 //!
-//! Controller, router and stand-ins run as processes of their own. What a
-//! router adds is told against direct calls to the same stand-in in the same
-//! run. See docs/design/requests.md.
+//! Controller, router and simulated upstreams run as separate processes. The
+//! overhead is the difference to direct requests to the same upstream in the
+//! same run. See docs/design/requests.md.
 
 use sequoiawing::{
     ctl::{CtlError, Deployment, Host, Operator, TableFile},
@@ -23,30 +23,30 @@
 
 const SECRET: &str = "secret-of-the-bench";
 
-/// The requests a second of the latency part.
-const RATE: u64 = 2_000;
+/// The requests per second of the latency benchmark.
+const REQUEST_RATE: u64 = 2_000;
 
-/// How long each latency run lasts, in milliseconds.
-const SPAN: u64 = 5_000;
+/// The duration of each latency run, in milliseconds.
+const RUN_MS: u64 = 5_000;
 
-/// The streams of the throughput part.
+/// The number of streams of the throughput benchmark.
 const STREAMS: u64 = 200;
 
-/// The tokens of each stream.
-const TOKENS: u64 = 1_000;
+/// The number of tokens of each stream.
+const STREAM_TOKENS: u64 = 1_000;
 
-/// The time between tokens, in microseconds, at which the streams together
-/// bring somewhat more than the tokens that are asked for.
-const GAP: u64 = 9_000;
+/// The time between the tokens of a stream, in microseconds; all streams together
+/// then deliver somewhat more than [`TOKEN_RATE`].
+const TOKEN_GAP_US: u64 = 9_000;
 
-/// The tokens a second for which the processor time is told.
+/// The tokens per second for which the CPU time is reported.
 const TOKEN_RATE: f64 = 20_000.0;
 
-/// The open streams of the memory part.
-const OPEN: u64 = 1_000;
+/// The number of open streams of the memory benchmark.
+const OPEN_STREAMS: u64 = 1_000;
 
-/// The ticks of a second in which the system counts processor time.
-const TICKS: f64 = 100.0;
+/// The clock ticks per second in which `/proc` reports CPU time.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 struct Processes {
     folder: PathBuf,
@@ -56,13 +56,13 @@
 impl Processes {
     fn spawn(&mut self, program: &str, name: &str, settings: &Value) -> u32 {
         let path = self.folder.join(format!("{name}.json"));
-        fs::write(&path, settings.to_string()).expect("settings are written");
+        fs::write(&path, settings.to_string()).expect("the settings file can be written");
         let child = Command::new(program)
             .arg(path)
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the daemon starts");
+            .expect("the daemon can be started");
         let id = child.id();
         self.children.push(child);
         id
@@ -101,7 +101,7 @@
     async fn start() -> Self {
         let folder = format!("sequoiawing-bench-{}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
-        fs::create_dir_all(&folder).expect("the folder is made");
+        fs::create_dir_all(&folder).expect("the directory can be created");
         let mut processes = Processes {
             folder: folder.clone(),
             children: Vec::new(),
@@ -129,12 +129,12 @@
         };
         let mut runner = upstream("runner-1", "captions", engine);
         runner["load"] = json!(10);
-        runner["gap"] = json!(GAP);
+        runner["gap"] = json!(TOKEN_GAP_US);
         let mut plain = upstream("licences-1", "licences", service);
         plain["work"] = json!(0);
         processes.spawn(env!("CARGO_BIN_EXE_sequoiawing-engine"), "engine", &runner);
         processes.spawn(env!("CARGO_BIN_EXE_sequoiawing-service"), "service", &plain);
-        let key = set_up(control, link).await;
+        let key = configure(control, link).await;
         let bench = Self {
             _processes: processes,
             router,
@@ -143,12 +143,15 @@
             service,
             key,
         };
-        bench.warm().await;
+        bench.wait_until_ready().await;
         bench
     }
 
-    async fn warm(&self) {
-        for settings in [self.calls(self.callers), self.completions(self.callers)] {
+    async fn wait_until_ready(&self) {
+        for settings in [
+            self.service_load(self.callers),
+            self.completion_load(self.callers),
+        ] {
             let settings = LoadSettings {
                 rate: 1,
                 span: 1,
@@ -161,35 +164,35 @@
         }
     }
 
-    fn calls(&self, to: SocketAddr) -> LoadSettings {
+    fn service_load(&self, to: SocketAddr) -> LoadSettings {
         LoadSettings {
             routers: vec![to],
             path: "/look".to_owned(),
             key: self.key.clone(),
-            rate: RATE,
-            span: SPAN,
+            rate: REQUEST_RATE,
+            span: RUN_MS,
             ..LoadSettings::default()
         }
     }
 
-    fn completions(&self, to: SocketAddr) -> LoadSettings {
+    fn completion_load(&self, to: SocketAddr) -> LoadSettings {
         LoadSettings {
             routers: vec![to],
             key: self.key.clone(),
             models: vec!["caption".to_owned()],
             rate: STREAMS,
             span: 1_000,
-            tokens: TOKENS,
+            tokens: STREAM_TOKENS,
             stream: true,
             ..LoadSettings::default()
         }
     }
 
     async fn latency(&self) {
-        println!("latency at {RATE} requests/s, in ms");
+        println!("latency at {REQUEST_RATE} requests/s, in ms");
         for round in 1..=3 {
-            let direct = summary(self.calls(self.service)).await;
-            let routed = summary(self.calls(self.callers)).await;
+            let direct = summary(self.service_load(self.service)).await;
+            let routed = summary(self.service_load(self.callers)).await;
             let line = |what: &str, direct: u64, routed: u64| {
                 let millis = |micros: f64| micros / 1_000.0;
                 let (d, r) = (as_f64(direct), as_f64(routed));
@@ -203,30 +206,30 @@
             };
             line("p50", direct.took.p50, routed.took.p50);
             line("p99", direct.took.p99, routed.took.p99);
-            check(&direct);
-            check(&routed);
+            report_failures(&direct);
+            report_failures(&routed);
         }
     }
 
     async fn streams(&self) {
         let clock = Clock::start();
-        let before = processor_seconds(self.router);
-        let routed = summary(self.completions(self.callers)).await;
-        let used = processor_seconds(self.router) - before;
-        let took = clock.elapsed().as_secs_f64();
-        check(&routed);
+        let before = cpu_seconds(self.router);
+        let routed = summary(self.completion_load(self.callers)).await;
+        let used = cpu_seconds(self.router) - before;
+        let elapsed = clock.elapsed().as_secs_f64();
+        report_failures(&routed);
         let tokens = as_f64(routed.gaps.count + routed.first.count);
         println!(
-            "streams: {tokens} events in {took:.2} s, {:.0}/s",
-            tokens / took
+            "streams: {tokens} events in {elapsed:.2} s, {:.0}/s",
+            tokens / elapsed
         );
-        println!("  router: {used:.2} s of processor time");
+        println!("  router: {used:.2} s of CPU time");
         println!(
             "  at {TOKEN_RATE} tokens/s: {:.3} cores",
             used / tokens * TOKEN_RATE
         );
-        let direct = summary(self.completions(self.engine)).await;
-        check(&direct);
+        let direct = summary(self.completion_load(self.engine)).await;
+        report_failures(&direct);
         for (what, d, r) in [
             ("first token p50", direct.first.p50, routed.first.p50),
             ("gap p50", direct.gaps.p50, routed.gaps.p50),
@@ -239,15 +242,15 @@
     async fn memory(&self) {
         let before = resident_bytes(self.router);
         let open = LoadSettings {
-            rate: OPEN,
-            ..self.completions(self.callers)
+            rate: OPEN_STREAMS,
+            ..self.completion_load(self.callers)
         };
         let load = spawn(run_load(open));
         sleep(Duration::from_secs(4)).await;
         let during = resident_bytes(self.router);
         println!(
-            "memory: {} bytes resident for each of {OPEN} open streams ({before} before)",
-            during.saturating_sub(before) / OPEN
+            "memory: {} bytes resident for each of {OPEN_STREAMS} open streams ({before} before)",
+            during.saturating_sub(before) / OPEN_STREAMS
         );
         load.await;
     }
@@ -255,14 +258,14 @@
 
 async fn summary(settings: LoadSettings) -> CustomerSummary {
     let report = run_load(settings).await;
-    report.summaries().pop().expect("there is one customer")
+    report.summaries().pop().expect("one customer")
 }
 
-fn check(summary: &CustomerSummary) {
-    let only = summary.statuses.len() == 1 && summary.statuses.contains_key(&200);
-    if !only || summary.wrong > 0 {
+fn report_failures(summary: &CustomerSummary) {
+    let all_succeeded = summary.statuses.len() == 1 && summary.statuses.contains_key(&200);
+    if !all_succeeded || summary.wrong > 0 {
         println!(
-            "  NOT WHOLE: {:?}, {} wrong",
+            "  FAILED: statuses {:?}, {} wrong responses",
             summary.statuses, summary.wrong
         );
     }
@@ -273,30 +276,33 @@
     count as f64
 }
 
-/// Returns the processor time that a process has used.
-fn processor_seconds(process: u32) -> f64 {
-    let stat = fs::read_to_string(format!("/proc/{process}/stat")).expect("it runs");
-    let fields = stat.rsplit_once(')').expect("it has a name").1;
+/// Returns the CPU time that a process has used, in seconds.
+fn cpu_seconds(process: u32) -> f64 {
+    let stat = fs::read_to_string(format!("/proc/{process}/stat")).expect("a running process");
+    let fields = stat
+        .rsplit_once(')')
+        .expect("the process name in parentheses")
+        .1;
     let ticks = |field: usize| -> u64 {
         let text = fields.split_whitespace().nth(field);
-        text.and_then(|t| t.parse().ok()).expect("it is a number")
+        text.and_then(|t| t.parse().ok()).expect("a number")
     };
-    as_f64(ticks(11) + ticks(12)) / TICKS
+    as_f64(ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
 
 fn resident_bytes(process: u32) -> u64 {
-    let status = fs::read_to_string(format!("/proc/{process}/status")).expect("it runs");
+    let status = fs::read_to_string(format!("/proc/{process}/status")).expect("a running process");
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|l| l.trim().split(' ').next()?.parse::<u64>().ok());
-    kilobytes.expect("it is a number") * 1_024
+    kilobytes.expect("a number") * 1_024
 }
 
 fn free_addresses<const N: usize>() -> [SocketAddr; N] {
     let listeners = [(); N].map(|()| TcpListener::bind("127.0.0.1:0").expect("a free port"));
-    listeners.map(|l| l.local_addr().expect("a bound address"))
+    listeners.map(|l| l.local_addr().expect("a local address"))
 }
 
-async fn set_up(control: SocketAddr, link: SocketAddr) -> String {
+async fn configure(control: SocketAddr, link: SocketAddr) -> String {
     let host = |host: &str, address| Host {
         host: Name::from(host),
         centre: Name::from("centre"),
@@ -307,7 +313,7 @@
         controllers: vec![host("control-1", control)],
         routers: vec![host("entry-1", link)],
     });
-    let file: TableFile = serde_json::from_value(tables()).expect("the tables are sound");
+    let file: TableFile = serde_json::from_value(tables()).expect("valid tables");
     loop {
         let Ok(tables) = operator.read().await else {
             continue;
@@ -316,10 +322,13 @@
         match operator.edit(Some(tables.revision), changes).await {
             Ok(_) => break,
             Err(CtlError::Conflict { .. }) => {}
-            Err(error) => panic!("the tables are not accepted: {error}"),
+            Err(error) => panic!("failed to apply the tables: {error}"),
         }
     }
-    let key: BearerKey = operator.grant_key("daily").await.expect("a key is granted");
+    let key: BearerKey = operator
+        .grant_key("daily")
+        .await
+        .expect("the key can be granted");
     key.reveal()
 }
 
--- a/src/bin/sequoiactl.rs
+++ b/src/bin/sequoiactl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The command-line tool for operators.
 
 use sequoiawing::{ctl, runtime};
 use std::process::ExitCode;
--- a/src/bin/sequoiawing-controller.rs
+++ b/src/bin/sequoiawing-controller.rs
@@ -1,4 +1,4 @@
-//! Keeps the tables on a host with a disk.
+//! The controller daemon, which stores the tables on a host with a disk.
 
 use sequoiawing::{
     controller::{Controller, ControllerSettings},
@@ -15,8 +15,8 @@
 }
 
 async fn serve(settings: ControllerSettings) -> io::Result<()> {
-    let running = Controller::start(settings).await?;
+    let controller = Controller::start(settings).await?;
     runtime::wait_for_signal().await?;
-    running.stop().await;
+    controller.stop().await;
     Ok(())
 }
--- a/src/bin/sequoiawing-engine.rs
+++ b/src/bin/sequoiawing-engine.rs
@@ -1,4 +1,4 @@
-//! Stands in for an engine.
+//! A simulated engine.
 
 use sequoiawing::{
     daemon, runtime,
@@ -11,8 +11,8 @@
 }
 
 async fn serve(settings: EngineSettings) -> io::Result<()> {
-    let running = Engine::start(settings).await?;
+    let engine = Engine::start(settings).await?;
     runtime::wait_for_signal().await?;
-    running.drain().await;
+    engine.drain().await;
     Ok(())
 }
--- a/src/bin/sequoiawing-load.rs
+++ b/src/bin/sequoiawing-load.rs
@@ -1,6 +1,7 @@
-//! Sends a load to routers and prints what became of it.
+//! A load generator for routers that prints a summary for each customer.
 //!
-//! It fails when an answer belongs to another request or is not whole.
+//! It exits with an error if a response belongs to another request or is
+//! incomplete.
 
 use clap::{Arg, ArgAction, Command};
 use sequoiawing::{
@@ -22,7 +23,7 @@
         .about("Sends a load to routers")
         .args([file, json]);
     let matches = command.get_matches();
-    let path: &PathBuf = matches.get_one("settings").expect("it is required");
+    let path: &PathBuf = matches.get_one("settings").expect("a required argument");
     let load: LoadSettings = match settings::read_file(path) {
         Ok(load) => load,
         Err(findings) => {
--- a/src/bin/sequoiawing-router.rs
+++ b/src/bin/sequoiawing-router.rs
@@ -1,4 +1,4 @@
-//! Serves callers on an entry host.
+//! The router daemon, which serves callers on an entry host.
 
 use sequoiawing::{
     daemon,
@@ -16,8 +16,8 @@
 }
 
 async fn serve(settings: RouterSettings) -> io::Result<()> {
-    let running = Router::start(settings).await?;
+    let router = Router::start(settings).await?;
     runtime::wait_for_signal().await?;
-    running.stop().await;
+    router.stop().await;
     Ok(())
 }
--- a/src/bin/sequoiawing-service.rs
+++ b/src/bin/sequoiawing-service.rs
@@ -1,4 +1,4 @@
-//! Stands in for a plain service.
+//! A simulated service without models.
 
 use sequoiawing::{
     daemon, runtime,
@@ -15,8 +15,8 @@
 }
 
 async fn serve(settings: ServiceSettings) -> io::Result<()> {
-    let running = Service::start(settings).await?;
+    let service = Service::start(settings).await?;
     runtime::wait_for_signal().await?;
-    running.drain().await;
+    service.drain().await;
     Ok(())
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the daemons have in common: command line, logs, and their end.
+//! The common parts of the daemons: command line, logging and exit codes.
 
 use crate::{
     runtime,
@@ -14,23 +14,23 @@
     process::ExitCode,
 };
 
-/// Runs a daemon from its command line to its end and returns its exit code.
+/// Runs a daemon according to its command line and returns its exit code.
 ///
 /// `serve` starts the daemon with its settings, waits for the signal to stop and
-/// stops it in order.
+/// shuts the daemon down.
 pub fn run<S, F, R>(name: &'static str, about: &'static str, serve: F) -> ExitCode
 where
     S: Check + DeserializeOwned,
     F: FnOnce(S) -> R,
     R: Future<Output = io::Result<()>>,
 {
-    let settings = match prepare(name, about) {
+    let settings = match load_settings(name, about) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
-    let ended = runtime::run(serve(settings));
+    let result = runtime::run(serve(settings));
     finish_logging();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{name}: {error}");
@@ -39,11 +39,13 @@
     }
 }
 
-/// Reads the settings that the command line names and starts logging.
+/// Loads the settings file that the command line names and starts logging.
 ///
-/// With `--check` the settings are only checked. Returns the exit code when the
-/// process should end at once.
-fn prepare<S>(name: &'static str, about: &'static str) -> Result<S, ExitCode>
+/// # Errors
+///
+/// Returns the exit code if the settings are invalid, or if `--check` is given:
+/// the settings are then only checked.
+fn load_settings<S>(name: &'static str, about: &'static str) -> Result<S, ExitCode>
 where
     S: Check + DeserializeOwned,
 {
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,4 +1,4 @@
-//! The embedded default: router, controller and stand-ins in one process.
+//! The embedded demo: controller, router and simulated upstreams in one process.
 
 use crate::{
     controller::{Controller, ControllerSettings},
@@ -11,25 +11,30 @@
 };
 use std::{io, net::SocketAddr, time::Duration};
 
-/// The secret of the embedded deployment, which listens on loopback only.
+/// The secret of the demo, which listens only on loopback.
 const SECRET: &str = "embedded-demo-secret";
 
-/// How often the demo looks whether its parts have found each other.
-const POLL: Duration = Duration::from_millis(50);
+/// The interval at which the demo checks whether its parts are connected.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the demo and, with `stay`, serves until the process is interrupted.
+/// Runs the demo and, if `keep_running` is set, serves until the process is
+/// interrupted.
 ///
 /// # Errors
 ///
-/// Returns an error when a part cannot start.
-pub async fn run(stay: bool) -> Result<(), Box<dyn std::error::Error>> {
+/// Returns an error if a part cannot start, the operator's calls fail or signals
+/// cannot be received.
+pub async fn run(keep_running: bool) -> Result<(), Box<dyn std::error::Error>> {
     let data = std::env::temp_dir().join(format!("sequoiawing-demo-{}", std::process::id()));
-    let result = serve(stay, data.clone()).await;
+    let result = serve(keep_running, data.clone()).await;
     std::fs::remove_dir_all(&data).ok();
     result
 }
 
-async fn serve(stay: bool, data: std::path::PathBuf) -> Result<(), Box<dyn std::error::Error>> {
+async fn serve(
+    keep_running: bool,
+    data: std::path::PathBuf,
+) -> Result<(), Box<dyn std::error::Error>> {
     let controller = Controller::start(ControllerSettings {
         host: Name::from("control-1"),
         secret: SECRET.to_owned(),
@@ -39,13 +44,13 @@
     let controller = controller.await?;
     let router = start_router(controller.link()).await?;
     let operator = operator(&controller, &router);
-    let key = set_up(&operator).await?;
-    println!("An operator made a customer, a key, two pools and two routes.");
+    let key = configure(&operator).await?;
+    println!("Created a customer, a key, two pools and two routes.");
 
     let engine = start_engine(router.upstreams()).await?;
     let service = start_service(router.upstreams()).await?;
-    settle(&router, 2).await;
-    println!("A runner and a plain service announced themselves.\n");
+    wait_until_ready(&router, 2).await;
+    println!("Registered a runner and a plain service.\n");
 
     let requests = LoadSettings {
         routers: vec![router.callers()],
@@ -54,23 +59,23 @@
         span: 1,
         ..LoadSettings::default()
     };
-    ask("cold, must be loaded first", &requests, "caption").await;
-    ask("warm", &requests, "caption").await;
-    ask("warm, with an adapter", &requests, "caption:oshiwambo").await;
-    ask("cold, another model", &requests, "translate").await;
-    let service_call = LoadSettings {
+    send_request("cold, loaded on request", &requests, "caption").await;
+    send_request("warm", &requests, "caption").await;
+    send_request("warm, with an adapter", &requests, "caption:oshiwambo").await;
+    send_request("cold, another model", &requests, "translate").await;
+    let service_request = LoadSettings {
         path: "/licences/grant".to_owned(),
         ..requests.clone()
     };
-    ask("a plain service", &service_call, "").await;
+    send_request("a plain service", &service_request, "").await;
     println!(
-        "\nThe runner loaded {} models and served {} requests; the service ran {} calls.",
+        "\nThe runner loaded {} models and served {} requests; the service handled {} requests.",
         engine.loads(),
         engine.served(),
         service.calls().len()
     );
-    if stay {
-        invite(router.callers(), &key);
+    if keep_running {
+        print_example(router.callers(), &key);
         wait_for_signal().await?;
     }
     engine.stop();
@@ -80,14 +85,15 @@
     Ok(())
 }
 
-/// Waits until the router leads its data centre and knows the upstreams.
-async fn settle(router: &Router, upstreams: usize) {
+/// Waits until the router knows the leader of its data centre and the given
+/// number of upstreams.
+async fn wait_until_ready(router: &Router, upstreams: usize) {
     loop {
         let status = router.status();
         if status.leader.is_some() && status.upstreams >= upstreams {
             return;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -139,8 +145,8 @@
     })
 }
 
-async fn set_up(operator: &Operator) -> Result<String, CtlError> {
-    let file = tables();
+async fn configure(operator: &Operator) -> Result<String, CtlError> {
+    let file = demo_tables();
     let tables = operator.read().await?;
     let changes = file.changes_from(&tables, false);
     operator.edit(Some(tables.revision), changes).await?;
@@ -148,7 +154,7 @@
     Ok(key.reveal())
 }
 
-fn tables() -> TableFile {
+fn demo_tables() -> TableFile {
     let model = |name: &str, adapters: &[&str]| Model {
         name: Name::from(name),
         memory: 8_000,
@@ -194,22 +200,22 @@
     }
 }
 
-async fn ask(what: &str, settings: &LoadSettings, model: &str) {
+async fn send_request(label: &str, settings: &LoadSettings, model: &str) {
     let settings = LoadSettings {
         models: vec![model.to_owned()],
         ..settings.clone()
     };
     let clock = Clock::start();
     let report = run_load(settings).await;
-    let took = clock.elapsed();
+    let elapsed = clock.elapsed();
     let status = report.statuses().keys().next().copied().unwrap_or(0);
     println!(
-        "{what:<28} {model:<18} status {status} after {} ms",
-        took.as_millis()
+        "{label:<28} {model:<18} status {status} after {} ms",
+        elapsed.as_millis()
     );
 }
 
-fn invite(callers: SocketAddr, key: &str) {
+fn print_example(callers: SocketAddr, key: &str) {
     println!("\nServing until interrupted. Try:\n");
     println!("  curl -N http://{callers}/v1/completions \\");
     println!("    -H 'Authorization: Bearer {key}' \\");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! A serving system for many rarely used models.
 //!
-//! This facade re-exports the crates of the workspace under one name. The
-//! daemons are thin over it; see [docs/ARCHITECTURE.md](../docs/ARCHITECTURE.md).
+//! This facade re-exports the crates of the workspace under one name; the
+//! daemons are thin wrappers around it. See
+//! [docs/ARCHITECTURE.md](../docs/ARCHITECTURE.md).
 
 pub mod daemon;
 pub mod demo;
@@ -26,7 +27,7 @@
 pub use sequoiawing_telemetry as telemetry;
 pub use sequoiawing_types as types;
 
-/// The types that embedders import most.
+/// The types that embedding programs import most often.
 pub mod prelude {
     pub use sequoiawing_controller::prelude::*;
     pub use sequoiawing_router::prelude::*;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the embedded demo: a whole deployment in one process.
+//! Runs the embedded demo: a complete deployment in one process.
 
 use clap::Command;
 use sequoiawing::{demo, runtime};
@@ -12,8 +12,8 @@
         .subcommand(demo)
         .subcommand(once);
     let matches = command.get_matches();
-    let stay = matches.subcommand_name() != Some("once");
-    match runtime::run(demo::run(stay)) {
+    let keep_running = matches.subcommand_name() != Some("once");
+    match runtime::run(demo::run(keep_running)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("sequoiawing: {error}");
