--- a/crates/sequoiawing_gateway/src/daemon.rs
+++ b/crates/sequoiawing_gateway/src/daemon.rs
@@ -37,14 +37,14 @@
     /// Returns the I/O error when an address cannot be bound.
     pub async fn start(settings: GatewaySettings, dialect: Arc<dyn Dialect>) -> io::Result<Self> {
         let http_settings = HttpSettings {
-            connections: settings.connections,
-            header_limit: HEADER_TIMEOUT,
-            drain_limit: Duration::from_millis(settings.drain),
+            max_connections: settings.connections,
+            header_timeout: HEADER_TIMEOUT,
+            drain_timeout: Duration::from_millis(settings.drain),
             ..HttpSettings::default()
         };
         let callers = HttpListener::bind(settings.callers, http_settings).await?;
         let ready_settings = HttpSettings {
-            drain_limit: READY_DRAIN_TIMEOUT,
+            drain_timeout: READY_DRAIN_TIMEOUT,
             ..HttpSettings::default()
         };
         let ready = HttpListener::bind(settings.ready, ready_settings).await?;
@@ -190,13 +190,13 @@
         response
     }
 
-    fn busy_answer(&self) -> Vec<u8> {
+    fn busy_response(&self) -> Vec<u8> {
         b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\ncontent-length: 0\r\n\
           connection: close\r\n\r\n"
             .to_vec()
     }
 
-    fn unreadable_answer(&self, status: StatusCode) -> Vec<u8> {
+    fn parse_error_response(&self, status: StatusCode) -> Vec<u8> {
         let code = match status {
             StatusCode::URI_TOO_LONG => Code::UriTooLong,
             StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE => Code::HeadersTooLarge,
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use hyper::{Response, http::response::Parts};
 use sequoiawing_catalog::Repeat;
-use sequoiawing_http::{Body, BodyError, ClientBody, Events, from_stream, remove_hop_headers};
+use sequoiawing_http::{Body, BodyError, ClientBody, SseSplitter, from_stream, remove_hop_headers};
 use sequoiawing_policy::serving::{AttemptOutcome, BalancerRequest};
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
@@ -30,7 +30,7 @@
     /// The number of times the request was sent.
     attempts: u32,
     source: Option<(ClientBody, Slot)>,
-    events: Events,
+    events: SseSplitter,
     /// Whether no other upstream was available when this one fell silent.
     has_no_alternative: bool,
     is_finished: bool,
@@ -61,7 +61,7 @@
         work,
         attempts,
         source: Some((body, slot)),
-        events: Events::default(),
+        events: SseSplitter::default(),
         has_no_alternative: false,
         is_finished: false,
     };
@@ -177,7 +177,7 @@
             upstream = slot.upstream().as_str(), events = self.events.count(), cause = cause;
             "Stream from the upstream was interrupted."
         );
-        self.events.cut();
+        self.events.discard_partial();
     }
 
     /// Resumes the stream after its last complete event at another upstream;
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -146,7 +146,7 @@
         let incarnation = since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX));
         Self {
             dialect,
-            client: HttpClient::with_idle_limit(CONNECT_TIMEOUT, idle),
+            client: HttpClient::with_idle_timeout(CONNECT_TIMEOUT, idle),
             meters: create_meters(&settings),
             settings,
             incarnation,
@@ -382,7 +382,7 @@
     pub(crate) fn release(&self, assigned: &Assignment, ended: AttemptOutcome) {
         self.balancer.lock().end(self.now(), assigned.key, ended);
         if matches!(ended, AttemptOutcome::Unreachable | AttemptOutcome::Aborted) {
-            self.client.forget(assigned.address);
+            self.client.close_idle(assigned.address);
         }
         if ended == AttemptOutcome::Unreachable {
             self.urgent_report.notify(usize::MAX);
@@ -545,7 +545,7 @@
             if item.gone
                 && let Some(address) = item.state.address
             {
-                self.client.forget(address);
+                self.client.close_idle(address);
             }
             balancer.update(item);
         }
--- a/crates/sequoiawing_http/src/body.rs
+++ b/crates/sequoiawing_http/src/body.rs
@@ -3,31 +3,31 @@
 use http_body_util::{BodyExt, Empty, Full, StreamBody, combinators::UnsyncBoxBody};
 use hyper::body::Frame;
 
-/// Why a body broke off.
+/// The error of a body that ended early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of an answer.
+/// The body of a request or response.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Returns a body of known content.
+/// Creates a body from bytes in memory.
 pub fn from_bytes<B>(bytes: B) -> Body
 where
     B: Into<Bytes>,
 {
-    let never = |e: std::convert::Infallible| match e {};
-    Full::new(bytes.into()).map_err(never).boxed_unsync()
+    let infallible = |e: std::convert::Infallible| match e {};
+    Full::new(bytes.into()).map_err(infallible).boxed_unsync()
 }
 
-/// Returns a body without content.
+/// Creates an empty body.
 pub fn empty() -> Body {
-    let never = |e: std::convert::Infallible| match e {};
-    Empty::new().map_err(never).boxed_unsync()
+    let infallible = |e: std::convert::Infallible| match e {};
+    Empty::new().map_err(infallible).boxed_unsync()
 }
 
-/// Returns a body that sends the items of a stream as they come.
+/// Creates a body that sends the items of a stream as they arrive.
 ///
-/// An error item breaks the connection off, so that the receiver cannot take
-/// the answer for a whole one.
+/// An error item aborts the connection, so that the receiver cannot mistake a
+/// truncated message for a complete one.
 pub fn from_stream<S>(stream: S) -> Body
 where
     S: Stream<Item = Result<Bytes, BodyError>> + Send + 'static,
--- a/crates/sequoiawing_http/src/client.rs
+++ b/crates/sequoiawing_http/src/client.rs
@@ -1,6 +1,6 @@
 use crate::{
     Body, BodyError,
-    idle::{IdlePool, kept_for},
+    idle_pool::{IdlePool, keep_alive_timeout},
     socket::Socket,
 };
 use async_net::TcpStream;
@@ -20,116 +20,117 @@
 };
 use thiserror::Error;
 
-/// How long a connection may be idle when nothing else is set; shorter than
-/// HTTP servers commonly keep one.
-const IDLE_LIMIT: Duration = Duration::from_mins(1);
+/// The default time for which an idle connection is kept; shorter than the
+/// usual keep-alive time of HTTP servers.
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Why a request brought no answer.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// Not a byte of the request was sent.
+    /// No byte of the request was sent.
     #[error("request was not sent: {0}")]
     NotSent(String),
-    /// The request was sent, at least in part.
+    /// The request was sent, at least in part, and no response arrived.
     #[error("no answer: {0}")]
-    NoAnswer(String),
-    /// The request was sent on a connection that had been idle, and which the
-    /// other end closed without an answer.
+    NoResponse(String),
+    /// The request was sent on a reused connection, which the server closed
+    /// without a response.
     #[error("an idle connection was closed: {0}")]
     IdleClosed(String),
 }
 
-/// An HTTP client that keeps connections open between requests.
+/// An HTTP client that reuses connections.
 ///
-/// Clones share the connections.
+/// Clones share the idle connections.
 #[derive(Clone)]
 pub struct Client {
-    idle: Arc<IdlePool>,
-    connect_limit: Duration,
+    idle_pool: Arc<IdlePool>,
+    connect_timeout: Duration,
 }
 
 impl Client {
-    /// Returns a client that gives up connecting after `connect_limit`.
-    pub fn new(connect_limit: Duration) -> Self {
-        Self::with_idle_limit(connect_limit, IDLE_LIMIT)
+    /// Creates a client whose connection attempts time out after
+    /// `connect_timeout`.
+    pub fn new(connect_timeout: Duration) -> Self {
+        Self::with_idle_timeout(connect_timeout, IDLE_TIMEOUT)
     }
 
-    /// Returns a client that also closes connections which were idle for
-    /// longer than `idle_limit`, or nearly as long as the other end keeps them.
-    pub fn with_idle_limit(connect_limit: Duration, idle_limit: Duration) -> Self {
-        let idle = Arc::new(IdlePool::new(idle_limit));
+    /// Creates a client that also closes connections which have been idle for
+    /// `idle_timeout`, or which the server is about to close.
+    pub fn with_idle_timeout(connect_timeout: Duration, idle_timeout: Duration) -> Self {
+        let idle_pool = Arc::new(IdlePool::new(idle_timeout));
         Self {
-            idle,
-            connect_limit,
+            idle_pool,
+            connect_timeout,
         }
     }
 
-    /// Closes the idle connections to an address, because one of them turned
-    /// out to be silent or another process may listen there by now.
-    pub fn forget(&self, address: SocketAddr) {
-        self.idle.clear(address);
+    /// Closes the idle connections to an address, for use when one of them
+    /// stopped responding or another process may be listening there.
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.idle_pool.clear(address);
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the status and headers of its response.
     ///
-    /// Dropping the answer's body before its end closes the connection, by
-    /// which the other end learns that the answer is no longer wanted.
+    /// Dropping the response body before its end closes the connection, which
+    /// cancels the request.
     ///
     /// # Errors
     ///
-    /// Returns an error that says whether any of the request was sent.
+    /// Returns an error that tells whether any part of the request was sent.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Body>,
     ) -> Result<Response<ClientBody>, ClientError> {
         let mut request = request;
-        while let Some(mut sender) = self.idle.take(address) {
+        while let Some(mut sender) = self.idle_pool.take(address) {
             match sender.try_send_request(request).await {
-                Ok(answer) => return Ok(self.pooled(address, sender, answer)),
+                Ok(response) => return Ok(self.attach_connection(address, sender, response)),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(idle_error(&error.into_error())),
+                    None => return Err(reuse_error(&error.into_error())),
                 },
             }
         }
-        self.send_anew(address, request).await
+        self.send_on_new_connection(address, request).await
     }
 
-    /// Sends a request on a connection of its own and waits for the head of
-    /// its answer.
+    /// Sends a request on a new connection and waits for the status and headers
+    /// of its response.
     ///
-    /// A connection that was idle may be closed by the other end at the moment
-    /// of sending, and then nobody knows whether the request ran; requests
-    /// that cannot be repeated are spared that.
+    /// The server may close an idle connection while a request is being sent on
+    /// it, which leaves unknown whether the request ran. Requests that must not
+    /// be repeated avoid this by a new connection.
     ///
     /// # Errors
     ///
-    /// Returns an error that says whether any of the request was sent.
-    pub async fn send_anew(
+    /// Returns an error that tells whether any part of the request was sent.
+    pub async fn send_on_new_connection(
         &self,
         address: SocketAddr,
         request: Request<Body>,
     ) -> Result<Response<ClientBody>, ClientError> {
         let mut sender = self.connect(address).await?;
         match sender.try_send_request(request).await {
-            Ok(answer) => Ok(self.pooled(address, sender, answer)),
+            Ok(response) => Ok(self.attach_connection(address, sender, response)),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 let cause = error.into_error().to_string();
                 Err(if unsent {
                     ClientError::NotSent(cause)
                 } else {
-                    ClientError::NoAnswer(cause)
+                    ClientError::NoResponse(cause)
                 })
             }
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<SendRequest<Body>, ClientError> {
-        let connecting = timeout(self.connect_limit, TcpStream::connect(address)).await;
-        let connected = connecting.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
-        let stream = connected.map_err(|e| ClientError::NotSent(e.to_string()))?;
+        let result = timeout(self.connect_timeout, TcpStream::connect(address)).await;
+        let result = result.unwrap_or_else(|| Err(std::io::ErrorKind::TimedOut.into()));
+        let stream = result.map_err(|e| ClientError::NotSent(e.to_string()))?;
         stream.set_nodelay(true).ok();
         let (sender, connection) = handshake(Socket::new(stream))
             .await
@@ -138,61 +139,62 @@
         Ok(sender)
     }
 
-    fn pooled(
+    fn attach_connection(
         &self,
         address: SocketAddr,
         sender: SendRequest<Body>,
-        answer: Response<Incoming>,
+        response: Response<Incoming>,
     ) -> Response<ClientBody> {
-        let idle = self.idle.clone();
-        let kept = kept_for(answer.headers());
-        answer.map(|body| {
-            let home = Some(Home {
-                idle,
+        let idle_pool = self.idle_pool.clone();
+        let keep_alive = keep_alive_timeout(response.headers());
+        response.map(|body| {
+            let connection = Some(ReusableConnection {
+                idle_pool,
                 address,
                 sender,
-                kept,
+                keep_alive,
             });
-            ClientBody { body, home }
+            ClientBody { body, connection }
         })
     }
 }
 
-/// Returns the error of a request on a connection that had been idle.
-fn idle_error(error: &hyper::Error) -> ClientError {
+/// Returns the error of a request on a reused connection.
+fn reuse_error(error: &hyper::Error) -> ClientError {
     let cause = error.to_string();
     if error.is_parse() {
-        return ClientError::NoAnswer(cause);
+        return ClientError::NoResponse(cause);
     }
     ClientError::IdleClosed(cause)
 }
 
-/// Where a connection goes once its answer has been read whole.
-struct Home {
-    idle: Arc<IdlePool>,
+/// A connection that is reused after its response has been read completely.
+struct ReusableConnection {
+    idle_pool: Arc<IdlePool>,
     address: SocketAddr,
     sender: SendRequest<Body>,
-    kept: Option<Duration>,
+    keep_alive: Option<Duration>,
 }
 
-impl Home {
-    fn check_in(self) {
-        self.idle.put(self.address, self.sender, self.kept);
+impl ReusableConnection {
+    fn return_to_pool(self) {
+        self.idle_pool
+            .put(self.address, self.sender, self.keep_alive);
     }
 }
 
-/// The body of an answer, which returns its connection to the client when it
+/// The body of a response, which returns its connection to the client once it
 /// has been read to the end.
 pub struct ClientBody {
     body: Incoming,
-    home: Option<Home>,
+    connection: Option<ReusableConnection>,
 }
 
 impl ClientBody {
-    /// Closes the connection, so that what may still come on it is never taken
-    /// for the answer to another request.
+    /// Closes the connection, so that bytes which still arrive on it are never
+    /// taken for the response to another request.
     pub fn discard(mut self) {
-        self.home = None;
+        self.connection = None;
     }
 }
 
@@ -218,9 +220,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         if matches!(polled, Poll::Ready(None))
-            && let Some(home) = self.home.take()
+            && let Some(connection) = self.connection.take()
         {
-            home.check_in();
+            connection.return_to_pool();
         }
         polled.map(|frame| frame.map(|result| result.map_err(Into::into)))
     }
@@ -239,8 +241,8 @@
         if !self.body.is_end_stream() {
             return;
         }
-        if let Some(home) = self.home.take() {
-            home.check_in();
+        if let Some(connection) = self.connection.take() {
+            connection.return_to_pool();
         }
     }
 }
--- a/crates/sequoiawing_http/src/flushed.rs
+++ b/crates/sequoiawing_http/src/deferred_error.rs
@@ -1,4 +1,4 @@
-use crate::{Body, BodyError, unreadable::Answering};
+use crate::{Body, BodyError, error_response::RequestGuard};
 use bytes::Bytes;
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
 use std::{
@@ -6,30 +6,30 @@
     task::{Context, Poll},
 };
 
-/// A body whose error comes one poll late.
+/// A body that returns an error one poll late.
 ///
-/// `hyper` closes a connection as soon as the body fails, with what it has
-/// not written yet: the head of an answer that fails at once, and the frames
-/// that came just before. It writes when a body has nothing ready, so the
-/// error waits for the poll after that.
-pub(crate) struct FlushedBody {
+/// When a body fails, `hyper` closes the connection at once and drops what it
+/// has not written yet: the headers of a response that fails immediately, and
+/// the frames just before the error. It writes when the body is pending, so the
+/// error is held back until the poll after that.
+pub(crate) struct DeferredErrorBody {
     body: Body,
     error: Option<BodyError>,
-    /// Counts the request until its answer is written.
-    _answering: Answering,
+    /// Counts the request as open until its response is written.
+    _guard: RequestGuard,
 }
 
-impl FlushedBody {
-    pub(crate) fn new(body: Body, answering: Answering) -> Self {
+impl DeferredErrorBody {
+    pub(crate) fn new(body: Body, guard: RequestGuard) -> Self {
         Self {
             body,
             error: None,
-            _answering: answering,
+            _guard: guard,
         }
     }
 }
 
-impl HttpBody for FlushedBody {
+impl HttpBody for DeferredErrorBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/sequoiawing_http/src/headers.rs
+++ b/crates/sequoiawing_http/src/headers.rs
@@ -3,7 +3,8 @@
     header::{self, HeaderName},
 };
 
-/// Headers that concern one connection only and are never forwarded.
+/// The hop-by-hop headers, which apply to a single connection and are never
+/// forwarded.
 const HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -17,17 +18,17 @@
     header::EXPECT,
 ];
 
-/// Removes what concerns one connection: the headers known to, and those that
-/// the `Connection` header names.
+/// Removes the hop-by-hop headers: the well-known ones and those listed in the
+/// `Connection` header.
 pub fn remove_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in listed.iter().chain(&HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/sequoiawing_http/src/idle.rs
+++ b/crates/sequoiawing_http/src/idle_pool.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for their next request.
+//! The idle connections of a client.
 
 use crate::Body;
 use hyper::{HeaderMap, client::conn::http1::SendRequest};
@@ -9,58 +9,62 @@
     time::{Duration, Instant},
 };
 
-/// The idle connections that are kept for one address.
-const IDLE_CONNECTIONS: usize = 64;
+/// The most idle connections that are kept for one address.
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// How long before the other end would close an idle connection it is no
-/// longer used, so that a request does not cross the close.
+/// How long before the server's keep-alive time ends an idle connection is no
+/// longer used, so that a request is not sent while the server closes it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(500);
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Body>,
-    until: Instant,
+    expiry: Instant,
 }
 
-/// The idle connections by address.
+/// The idle connections, by address.
 pub(crate) struct IdlePool {
-    /// How long a connection may be idle.
-    limit: Duration,
-    connections: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
+    /// How long a connection may stay idle.
+    idle_timeout: Duration,
+    connections: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl IdlePool {
-    pub(crate) fn new(limit: Duration) -> Self {
+    pub(crate) fn new(idle_timeout: Duration) -> Self {
         let connections = Mutex::default();
-        Self { limit, connections }
+        Self {
+            idle_timeout,
+            connections,
+        }
     }
 
-    /// Returns a connection on which a request may be sent.
+    /// Removes and returns a connection that is ready for a request.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<SendRequest<Body>> {
         let now = Instant::now();
         let mut connections = self.connections.lock();
         let idle = connections.get_mut(&address)?;
-        idle.retain(|i| now < i.until && !i.sender.is_closed());
+        idle.retain(|i| now < i.expiry && !i.sender.is_closed());
         let ready = idle.iter().rposition(|i| i.sender.is_ready())?;
         Some(idle.swap_remove(ready).sender)
     }
 
-    /// Keeps a connection whose last answer had these headers.
+    /// Adds a connection. `keep_alive` is the keep-alive time that the server
+    /// announced, if any.
     pub(crate) fn put(
         &self,
         address: SocketAddr,
         sender: SendRequest<Body>,
-        kept: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
-        let kept = kept.map_or(self.limit, |k| k.saturating_sub(CLOSE_MARGIN));
-        let limit = kept.min(self.limit);
-        if sender.is_closed() || limit.is_zero() {
+        let usable = keep_alive.map_or(self.idle_timeout, |k| k.saturating_sub(CLOSE_MARGIN));
+        let lifetime = usable.min(self.idle_timeout);
+        if sender.is_closed() || lifetime.is_zero() {
             return;
         }
-        let until = Instant::now() + limit;
+        let expiry = Instant::now() + lifetime;
         let mut connections = self.connections.lock();
         let idle = connections.entry(address).or_default();
-        if idle.len() < IDLE_CONNECTIONS {
-            idle.push(Idle { sender, until });
+        if idle.len() < MAX_IDLE_PER_ADDRESS {
+            idle.push(IdleConnection { sender, expiry });
         }
     }
 
@@ -70,8 +74,8 @@
     }
 }
 
-/// Returns how long the other end keeps an idle connection, if it says so.
-pub(crate) fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the time-out of the `Keep-Alive` header, if there is one.
+pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = value.split(',');
     let seconds = parts.find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/sequoiawing_http/src/lib.rs
+++ b/crates/sequoiawing_http/src/lib.rs
@@ -1,18 +1,19 @@
-//! HTTP/1.1 listeners and a pooled client, by `hyper` over `async-net`.
+//! HTTP/1.1 listeners and a client with connection reuse, built on `hyper` and
+//! `async-net`.
 
 mod body;
 mod client;
-mod events;
-mod flushed;
+mod deferred_error;
+mod error_response;
 mod headers;
-mod idle;
+mod idle_pool;
 mod listener;
 mod socket;
+mod sse;
 mod stall;
-mod unreadable;
 
 pub use body::{Body, BodyError, empty, from_bytes, from_stream};
 pub use client::{Client, ClientBody, ClientError};
-pub use events::Events;
 pub use headers::remove_hop_headers;
 pub use listener::{Handler, HttpListener, HttpSettings};
+pub use sse::SseSplitter;
--- a/crates/sequoiawing_http/src/listener.rs
+++ b/crates/sequoiawing_http/src/listener.rs
@@ -1,9 +1,9 @@
 use crate::{
     Body,
-    flushed::FlushedBody,
+    deferred_error::DeferredErrorBody,
+    error_response::{ErrorResponseStream, InFlightRequests},
     socket::Socket,
     stall::StallGuard,
-    unreadable::{ExplainedStream, InFlight},
 };
 use async_net::{TcpListener, TcpStream};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -26,71 +26,72 @@
     time::Duration,
 };
 
-/// How long the listener waits after the operating system refused a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// How long the listener waits after a failed `accept` before it tries again.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How often a stopping listener looks whether its connections have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+/// How often a stopping listener checks whether its connections have closed.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long telling a caller that it is one too many may take.
-const TURN_AWAY_LIMIT: Duration = Duration::from_secs(1);
+/// How long rejecting a connection over the limit may take.
+const REJECTION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The most callers that are told at once that they are one too many; those
-/// beyond are closed unheard, so that a flood takes no memory.
-const TURNED_AWAY: usize = 1_000;
+/// The most connections over the limit that get a response at the same time.
+/// Further ones are closed without a response, so that a flood of connections
+/// does not exhaust memory.
+const MAX_REJECTIONS: usize = 1_000;
 
-/// The bounds that a listener holds its connections to.
+/// The connection limits and time-outs of a listener.
 #[derive(Clone, Debug)]
 pub struct HttpSettings {
-    /// The most connections at once.
-    pub connections: usize,
-    /// How long a request's headers may take to arrive.
-    pub header_limit: Duration,
-    /// The largest headers, in bytes.
+    /// The maximum number of open connections.
+    pub max_connections: usize,
+    /// How long the headers of a request may take to arrive.
+    pub header_timeout: Duration,
+    /// The maximum size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// How long a peer may take nothing of its answer.
-    pub stall_limit: Duration,
-    /// What the operating system holds at most for a peer that takes nothing,
-    /// in bytes; without a bound it grows to some megabytes for each.
-    pub send_bytes: usize,
-    /// How long open connections may last once shutdown has started.
-    pub drain_limit: Duration,
+    /// How long a write may make no progress before the connection fails.
+    pub stall_timeout: Duration,
+    /// The size of the kernel's send buffer of a connection, in bytes. Without
+    /// a limit, the buffer grows to several megabytes for each peer that does
+    /// not read.
+    pub send_buffer: usize,
+    /// How long open connections may continue after shutdown has started.
+    pub drain_timeout: Duration,
 }
 
 impl Default for HttpSettings {
     fn default() -> Self {
         Self {
-            connections: 20_000,
-            header_limit: Duration::from_secs(10),
+            max_connections: 20_000,
+            header_timeout: Duration::from_secs(10),
             header_bytes: 32 * 1024,
-            stall_limit: Duration::from_secs(20),
-            send_bytes: 128 * 1024,
-            drain_limit: Duration::from_mins(1),
+            stall_timeout: Duration::from_secs(20),
+            send_buffer: 128 * 1024,
+            drain_timeout: Duration::from_mins(1),
         }
     }
 }
 
-/// Answers the requests of a listener.
+/// Handles the requests of a listener.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Returns the response to a request.
     fn handle(&self, request: Request<Incoming>) -> impl Future<Output = Response<Body>> + Send;
 
-    /// Looks at a connection before HTTP is spoken on it, and returns it unless
-    /// it is dealt with.
+    /// Inspects a new connection before it is served. Returns `None` if the
+    /// handler has taken over the connection.
     fn accept(&self, stream: TcpStream) -> impl Future<Output = Option<TcpStream>> + Send {
         async { Some(stream) }
     }
 
-    /// Returns what is written to a connection that is one too many, a whole
-    /// answer.
-    fn busy_answer(&self) -> Vec<u8> {
+    /// Returns the complete HTTP response for a connection over the limit.
+    fn busy_response(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    /// Returns what is written to a connection on which something else than a
-    /// request came, a whole answer; nothing leaves it to `hyper`, whose answers
-    /// have no body.
-    fn unreadable_answer(&self, _status: StatusCode) -> Vec<u8> {
+    /// Returns the complete HTTP response to bytes that do not parse as a
+    /// request. If it is empty, `hyper` sends its own response, which has no
+    /// body.
+    fn parse_error_response(&self, _status: StatusCode) -> Vec<u8> {
         Vec::new()
     }
 }
@@ -103,17 +104,17 @@
 }
 
 impl HttpListener {
-    /// Binds a listener.
+    /// Binds a listener to an address.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system when the address is taken.
+    /// Returns the error of the operating system if the address cannot be bound.
     pub async fn bind(address: SocketAddr, settings: HttpSettings) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         Ok(Self { listener, settings })
     }
 
-    /// Returns the address that was bound, with its port.
+    /// Returns the bound address, with the actual port.
     ///
     /// # Errors
     ///
@@ -122,86 +123,88 @@
         self.listener.local_addr()
     }
 
-    /// Answers requests until shutdown starts, then waits for the open ones.
+    /// Serves requests until shutdown starts, then waits for open connections to
+    /// close.
     ///
     /// Returns the number of connections that were still open when the drain
-    /// limit was reached.
+    /// timed out.
     pub async fn serve<H>(self, handler: Arc<H>, shutdown: Shutdown) -> usize
     where
         H: Handler,
     {
         let open = Arc::new(AtomicUsize::new(0));
-        let extra = Arc::new(AtomicUsize::new(0));
-        while let Some(accepted) = shutdown.or(self.listener.accept()).await {
-            let Ok((stream, _)) = accepted else {
-                sleep(ACCEPT_PAUSE).await;
+        let rejecting = Arc::new(AtomicUsize::new(0));
+        while let Some(result) = shutdown.or(self.listener.accept()).await {
+            let Ok((stream, _)) = result else {
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            if open.load(Ordering::Relaxed) >= self.settings.connections {
-                if extra.load(Ordering::Relaxed) < TURNED_AWAY {
-                    let count = OpenConnection::new(extra.clone());
-                    turn_away(stream, handler.busy_answer(), count);
+            if open.load(Ordering::Relaxed) >= self.settings.max_connections {
+                if rejecting.load(Ordering::Relaxed) < MAX_REJECTIONS {
+                    let guard = ConnectionGuard::new(rejecting.clone());
+                    reject(stream, handler.busy_response(), guard);
                 }
                 continue;
             }
-            let count = OpenConnection::new(open.clone());
+            let guard = ConnectionGuard::new(open.clone());
             let settings = self.settings.clone();
             let connection = serve_connection(stream, handler.clone(), settings, shutdown.clone());
             let task = async move {
                 connection.await;
-                drop(count);
+                drop(guard);
             };
             spawn(task).detach();
         }
         drop(self.listener);
-        let drained = async {
+        let all_closed = async {
             while open.load(Ordering::Relaxed) > 0 {
-                sleep(DRAIN_POLL).await;
+                sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
-        timeout(self.settings.drain_limit, drained).await;
+        timeout(self.settings.drain_timeout, all_closed).await;
         open.load(Ordering::Relaxed)
     }
 }
 
-/// Counts an open connection for as long as it lives.
-struct OpenConnection(Arc<AtomicUsize>);
+/// Includes a connection in a counter until the guard is dropped.
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl OpenConnection {
+impl ConnectionGuard {
     fn new(open: Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
         Self(open)
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Tells a caller that it is one too many, as far as that costs no waiting.
-fn turn_away(stream: TcpStream, answer: Vec<u8>, count: OpenConnection) {
-    let told = async move {
-        timeout(TURN_AWAY_LIMIT, turned_away(stream, answer)).await;
-        drop(count);
+/// Rejects a connection over the limit, without blocking the accept loop.
+fn reject(stream: TcpStream, response: Vec<u8>, guard: ConnectionGuard) {
+    let rejection = async move {
+        timeout(REJECTION_TIMEOUT, send_busy_response(stream, response)).await;
+        drop(guard);
     };
-    spawn(told).detach();
+    spawn(rejection).detach();
 }
 
-/// Answers the request that comes on a connection, without reading it whole.
+/// Sends a response once the first bytes of a request have arrived.
 ///
-/// The answer waits for the request's first bytes, since HTTP clients take an
-/// answer that comes before their request for rubbish.
-async fn turned_away(mut stream: TcpStream, answer: Vec<u8>) -> io::Result<()> {
-    let mut read = [0; 1_024];
-    if stream.read(&mut read).await? == 0 {
+/// HTTP clients treat a response that precedes their request as a protocol
+/// error.
+async fn send_busy_response(mut stream: TcpStream, response: Vec<u8>) -> io::Result<()> {
+    let mut buffer = [0; 1_024];
+    if stream.read(&mut buffer).await? == 0 {
         return Ok(());
     }
-    stream.write_all(&answer).await?;
+    stream.write_all(&response).await?;
     stream.shutdown(std::net::Shutdown::Write)?;
-    // Closing with unread bytes would reset the connection and lose the answer.
-    while stream.read(&mut read).await? > 0 {}
+    // Closing a socket with unread bytes resets the connection, and the peer
+    // would lose the response.
+    while stream.read(&mut buffer).await? > 0 {}
     Ok(())
 }
 
@@ -214,28 +217,28 @@
     H: Handler,
 {
     stream.set_nodelay(true).ok();
-    set_socket_send_buffer_size(&stream, settings.send_bytes).ok();
+    set_socket_send_buffer_size(&stream, settings.send_buffer).ok();
     let Some(stream) = handler.accept(stream).await else {
         return;
     };
-    let guarded = StallGuard::new(Socket::new(stream), settings.stall_limit);
-    let requests = InFlight::default();
-    let explaining = handler.clone();
-    let explain = move |status| explaining.unreadable_answer(status);
-    let explained = ExplainedStream::new(guarded, requests.clone(), explain);
+    let socket = StallGuard::new(Socket::new(stream), settings.stall_timeout);
+    let requests = InFlightRequests::default();
+    let error_handler = handler.clone();
+    let error_response = move |status| error_handler.parse_error_response(status);
+    let stream = ErrorResponseStream::new(socket, requests.clone(), error_response);
     let service = service_fn(move |request| {
         let handler = handler.clone();
-        let answering = requests.begin();
+        let guard = requests.begin();
         async move {
-            let answer = handler.handle(request).await;
-            Ok::<_, Infallible>(answer.map(|body| FlushedBody::new(body, answering)))
+            let response = handler.handle(request).await;
+            Ok::<_, Infallible>(response.map(|body| DeferredErrorBody::new(body, guard)))
         }
     });
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
-        .header_read_timeout(settings.header_limit)
+        .header_read_timeout(settings.header_timeout)
         .max_header_size(settings.header_bytes)
-        .serve_connection(explained, service);
+        .serve_connection(stream, service);
     let mut connection = pin!(connection);
     let stopping = async {
         shutdown.wait().await;
--- a/crates/sequoiawing_http/src/socket.rs
+++ b/crates/sequoiawing_http/src/socket.rs
@@ -10,23 +10,24 @@
     task::{Context, Poll, ready},
 };
 
-/// The most bytes that one call reads.
+/// The most bytes that one call reads from a socket.
 const READ_BYTES: usize = 16 * 1024;
 
 thread_local! {
-    /// Where bytes land before `hyper` gets them, so that its own buffer needs
-    /// no clearing for each read.
-    static LANDING: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_BYTES].into());
+    /// Receives bytes before they are copied to `hyper`, so that the buffer of
+    /// `hyper` need not be zeroed for each read.
+    static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_BYTES].into());
 }
 
-/// A connection as `hyper` reads and writes it.
+/// A TCP connection with the I/O traits of `hyper`.
 ///
-/// A connection's task is woken for each part of an answer that passes through
-/// it. A socket that was read empty is therefore not read again until the
-/// operating system says that there is more; see
+/// The task of a connection is woken for each part of a response that it sends.
+/// To avoid a system call each time, a socket that was drained is not read again
+/// until the operating system reports it as readable; see
 /// [docs/design/requests.md](../../../../docs/design/requests.md).
 pub(crate) struct Socket {
     stream: Arc<Async<net::TcpStream>>,
+    /// Whether the last read emptied the socket's receive buffer.
     is_drained: bool,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Reads into `buffer` once the socket has something.
+    /// Reads into `buffer` once the socket is readable.
     fn poll_receive(&mut self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             if self.is_drained {
@@ -49,7 +50,8 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.is_drained = true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Ok(count) => {
-                    // Readiness is told again at once if more has come by now.
+                    // If more bytes have arrived by now, the socket is reported
+                    // as readable at once.
                     self.is_drained = count > 0 && count < buffer.len();
                     return Poll::Ready(Ok(count));
                 }
@@ -58,9 +60,9 @@
         }
     }
 
-    /// Reads and throws away what the peer sends; returns how much it was.
+    /// Reads and discards bytes from the peer. Returns their number.
     pub(crate) fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        LANDING.with_borrow_mut(|landing| self.poll_receive(cx, landing))
+        READ_BUFFER.with_borrow_mut(|scratch| self.poll_receive(cx, scratch))
     }
 }
 
@@ -70,10 +72,10 @@
         cx: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        LANDING.with_borrow_mut(|landing| {
-            let room = cursor.remaining().min(landing.len());
-            let count = ready!(self.poll_receive(cx, &mut landing[..room]))?;
-            cursor.put_slice(&landing[..count]);
+        READ_BUFFER.with_borrow_mut(|scratch| {
+            let limit = cursor.remaining().min(scratch.len());
+            let count = ready!(self.poll_receive(cx, &mut scratch[..limit]))?;
+            cursor.put_slice(&scratch[..count]);
             Poll::Ready(Ok(()))
         })
     }
--- /dev/null
+++ b/crates/sequoiawing_http/src/sse/tests.rs
@@ -0,0 +1,56 @@
+use super::SseSplitter;
+use bytes::Bytes;
+
+const STREAM: &[u8] = b"data: a\n\ndata: b\r\n\r\ndata: [DONE]\n\n";
+
+#[test]
+fn events_are_complete_at_every_split_of_the_stream() {
+    for first in 0..STREAM.len() {
+        for second in first..STREAM.len() {
+            let mut splitter = SseSplitter::default();
+            let parts = [&STREAM[..first], &STREAM[first..second], &STREAM[second..]];
+            let mut output = Vec::new();
+            for part in parts {
+                let complete = splitter.push(Bytes::copy_from_slice(part));
+                assert!(
+                    complete.is_empty() || complete.ends_with(b"\n"),
+                    "{complete:?}"
+                );
+                output.extend_from_slice(&complete);
+            }
+            assert_eq!(output, STREAM, "split at {first} and {second}");
+            assert_eq!(splitter.count(), 3, "split at {first} and {second}");
+            assert!(splitter.is_done());
+        }
+    }
+}
+
+#[test]
+fn a_discarded_partial_event_is_not_counted() {
+    let mut splitter = SseSplitter::default();
+    splitter.push(Bytes::from_static(b"data: a\n\ndata: b"));
+    splitter.discard_partial();
+    assert_eq!(splitter.count(), 1);
+    let complete = splitter.push(Bytes::from_static(b"data: b\n\n"));
+    assert_eq!(&complete[..], b"data: b\n\n");
+    assert_eq!(splitter.count(), 2);
+    assert!(!splitter.is_done());
+}
+
+macro_rules! last_ids {
+    ($($name:ident: $stream:expr => $id:expr;)*) => {$(
+        #[test]
+        fn $name() {
+            let mut splitter = SseSplitter::default();
+            splitter.push(Bytes::from_static($stream));
+            assert_eq!(splitter.last_id(), $id);
+        }
+    )*};
+}
+
+last_ids! {
+    the_last_complete_event_sets_the_id: b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda" => Some(2);
+    an_event_without_an_id_keeps_the_previous_one: b"id:7\r\ndata: a\r\n\r\ndata: b\n\n" => Some(7);
+    the_id_may_follow_another_field: b"weight-versions:2\nid: 4\ndata: id: 9\n\n" => Some(4);
+    a_stream_without_ids_has_none: b"data: a\n\n" => None;
+}
--- a/crates/sequoiawing_http/src/stall.rs
+++ b/crates/sequoiawing_http/src/stall.rs
@@ -11,35 +11,35 @@
 
 type Timer = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// How long a closing connection reads what its peer still sends.
-const LINGER_LIMIT: Duration = Duration::from_millis(500);
+/// How long a closing connection keeps reading from its peer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection that fails when its peer takes nothing for too long, so that a
-/// half-open or very slow caller does not hold an upstream's slot.
+/// A connection that fails when writes make no progress for too long, so that a
+/// half-open or very slow caller does not occupy a slot of an upstream.
 ///
-/// When it closes, it reads for a while what the peer still sends: closing with
-/// unread bytes resets the connection, and the peer would lose the answer that
-/// tells it why.
+/// On close, it reads and discards what the peer still sends for a short time:
+/// closing a socket with unread bytes resets the connection, and the peer would
+/// lose the response that states the reason.
 pub(crate) struct StallGuard {
     socket: Socket,
-    limit: Duration,
-    timer: Option<Timer>,
-    lingering: Option<Timer>,
+    timeout: Duration,
+    stall_timer: Option<Timer>,
+    linger_timer: Option<Timer>,
 }
 
 impl StallGuard {
-    /// Guards a connection.
-    pub(crate) fn new(socket: Socket, limit: Duration) -> Self {
+    /// Wraps a connection whose writes time out after `timeout`.
+    pub(crate) fn new(socket: Socket, timeout: Duration) -> Self {
         Self {
             socket,
-            limit,
-            timer: None,
-            lingering: None,
+            timeout,
+            stall_timer: None,
+            linger_timer: None,
         }
     }
 
     fn poll_linger(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let expired = self.lingering.as_mut().map(|timer| timer.poll(cx));
+        let expired = self.linger_timer.as_mut().map(|timer| timer.poll(cx));
         if !matches!(expired, Some(Poll::Pending)) {
             return Poll::Ready(Ok(()));
         }
@@ -52,18 +52,18 @@
         }
     }
 
-    fn watch<T>(
+    fn check_stall<T>(
         &mut self,
         cx: &mut Context<'_>,
         progress: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if progress.is_ready() {
-            self.timer = None;
+            self.stall_timer = None;
             return progress;
         }
-        let limit = self.limit;
-        let start = || -> Timer { Box::pin(sequoiawing_runtime::sleep(limit)) };
-        let timer = self.timer.get_or_insert_with(start);
+        let timeout = self.timeout;
+        let start_timer = || -> Timer { Box::pin(sequoiawing_runtime::sleep(timeout)) };
+        let timer = self.stall_timer.get_or_insert_with(start_timer);
         match timer.poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
@@ -85,21 +85,21 @@
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        buf: &[u8],
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let progress = Pin::new(&mut self.socket).poll_write(cx, buf);
-        self.watch(cx, progress)
+        let progress = Pin::new(&mut self.socket).poll_write(cx, bytes);
+        self.check_stall(cx, progress)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let progress = Pin::new(&mut self.socket).poll_flush(cx);
-        self.watch(cx, progress)
+        self.check_stall(cx, progress)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.lingering.is_none() {
+        if self.linger_timer.is_none() {
             ready!(Pin::new(&mut self.socket).poll_shutdown(cx))?;
-            self.lingering = Some(Box::pin(sequoiawing_runtime::sleep(LINGER_LIMIT)));
+            self.linger_timer = Some(Box::pin(sequoiawing_runtime::sleep(LINGER_TIMEOUT)));
         }
         self.poll_linger(cx)
     }
--- a/crates/sequoiawing_http/tests/listener.rs
+++ b/crates/sequoiawing_http/tests/listener.rs
@@ -1,4 +1,4 @@
-//! What a listener writes, and when.
+//! Tests of the responses of a listener and their timing.
 
 use bytes::Bytes;
 use futures_lite::stream;
@@ -14,13 +14,13 @@
     time::Duration,
 };
 
-/// How long a test waits for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a test waits for bytes that must arrive.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a test listens for something that must not come.
-const SILENCE: Duration = Duration::from_millis(200);
+/// How long a test waits for bytes that must not arrive.
+const QUIET_TIME: Duration = Duration::from_millis(200);
 
-const BUSY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
+const BUSY_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
@@ -35,10 +35,10 @@
     };
 }
 
-/// Answers every request by the frames it was given.
-struct Frames(Vec<Result<Bytes, &'static str>>);
+/// Responds to every request with the given frames.
+struct FrameHandler(Vec<Result<Bytes, &'static str>>);
 
-impl Handler for Frames {
+impl Handler for FrameHandler {
     async fn handle(&self, _: Request<Incoming>) -> Response<Body> {
         if self.0.is_empty() {
             return Response::new(from_bytes("done"));
@@ -48,65 +48,70 @@
         Response::new(from_stream(stream::iter(frames)))
     }
 
-    fn busy_answer(&self) -> Vec<u8> {
-        BUSY.to_vec()
+    fn busy_response(&self) -> Vec<u8> {
+        BUSY_RESPONSE.to_vec()
     }
 }
 
-async fn listen(frames: Vec<Result<Bytes, &'static str>>, connections: usize) -> SocketAddr {
+async fn start_listener(
+    frames: Vec<Result<Bytes, &'static str>>,
+    max_connections: usize,
+) -> SocketAddr {
     let settings = HttpSettings {
-        connections,
+        max_connections,
         ..HttpSettings::default()
     };
-    let address = "127.0.0.1:0".parse().expect("it is an address");
+    let address = "127.0.0.1:0".parse().expect("the address is valid");
     let listener = HttpListener::bind(address, settings).await;
-    let listener = listener.expect("a port is free");
-    let address = listener.address().expect("it is bound");
-    spawn(listener.serve(Arc::new(Frames(frames)), Shutdown::default())).detach();
+    let listener = listener.expect("a port is available");
+    let address = listener.address().expect("the listener has an address");
+    spawn(listener.serve(Arc::new(FrameHandler(frames)), Shutdown::default())).detach();
     address
 }
 
-fn connect(to: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(to).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("it is set");
+fn connect(address: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(address).expect("the listener accepts connections");
+    stream
+        .set_read_timeout(Some(READ_TIMEOUT))
+        .expect("the read timeout is set");
     stream
 }
 
-/// Sends a request and reads all that comes back.
-fn talk(mut stream: TcpStream) -> String {
+/// Sends a request and reads the response until the connection closes.
+fn send_request(mut stream: TcpStream) -> String {
     stream.write_all(REQUEST).expect("the request is sent");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).ok();
-    String::from_utf8(answer).expect("it is text")
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).ok();
+    String::from_utf8(response).expect("the response is UTF-8")
 }
 
 cases! {
-    a_connection_too_many_is_answered_only_once_it_asks {
-        let to = listen(Vec::new(), 1).await;
-        let held = connect(to);
-        let mut extra = connect(to);
-        extra.set_read_timeout(Some(SILENCE)).expect("it is set");
-        let early = extra.read(&mut [0; 1]).expect_err("nothing was asked");
+    a_connection_over_the_limit_gets_a_response_after_its_request {
+        let address = start_listener(Vec::new(), 1).await;
+        let open = connect(address);
+        let mut rejected = connect(address);
+        rejected.set_read_timeout(Some(QUIET_TIME)).expect("the read timeout is set");
+        let early = rejected.read(&mut [0; 1]).expect_err("no response precedes the request");
         assert_eq!(early.kind(), ErrorKind::WouldBlock);
-        extra.set_read_timeout(Some(PATIENCE)).expect("it is set");
-        let answer = talk(extra);
-        assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-        drop(held);
+        rejected.set_read_timeout(Some(READ_TIMEOUT)).expect("the read timeout is set");
+        let response = send_request(rejected);
+        assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+        drop(open);
     }
 
-    an_answer_that_breaks_at_once_has_a_head {
-        let to = listen(vec![Err("withdrawn")], 10).await;
-        let answer = talk(connect(to));
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
-        assert!(!answer.ends_with("0\r\n\r\n"), "{answer:?}");
+    a_response_that_fails_at_once_has_headers {
+        let address = start_listener(vec![Err("withdrawn")], 10).await;
+        let response = send_request(connect(address));
+        assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
+        assert!(!response.ends_with("0\r\n\r\n"), "{response:?}");
     }
 
-    an_answer_that_breaks_has_all_that_came_before {
+    a_response_that_fails_includes_all_earlier_frames {
         let frames = vec![Ok("one".into()), Ok("two".into()), Err("withdrawn")];
-        let to = listen(frames, 10).await;
-        let answer = talk(connect(to));
-        assert!(answer.contains("one"), "{answer:?}");
-        assert!(answer.contains("two"), "{answer:?}");
-        assert!(!answer.ends_with("0\r\n\r\n"), "{answer:?}");
+        let address = start_listener(frames, 10).await;
+        let response = send_request(connect(address));
+        assert!(response.contains("one"), "{response:?}");
+        assert!(response.contains("two"), "{response:?}");
+        assert!(!response.ends_with("0\r\n\r\n"), "{response:?}");
     }
 }
--- a/crates/sequoiawing_router/src/attempt.rs
+++ b/crates/sequoiawing_router/src/attempt.rs
@@ -211,7 +211,7 @@
         let answer = match timeout(left, sent).await {
             Some(Ok(answer)) => answer,
             Some(Err(ClientError::NotSent(cause))) => return Err(Failed::unsent(cause)),
-            Some(Err(ClientError::NoAnswer(cause) | ClientError::IdleClosed(cause))) => {
+            Some(Err(ClientError::NoResponse(cause) | ClientError::IdleClosed(cause))) => {
                 return Err(Failed::unknown(cause));
             }
             None => return Err(Failed::unknown("no answer before the deadline")),
@@ -251,13 +251,13 @@
     {
         let client = &self.state.client;
         if !repeatable {
-            return client.send_anew(address, build()).await;
+            return client.send_on_new_connection(address, build()).await;
         }
         match client.send(address, build()).await {
             Err(ClientError::IdleClosed(_)) => {
-                let again = client.send_anew(address, build()).await;
+                let again = client.send_on_new_connection(address, build()).await;
                 // The first one may have run, whatever became of the second.
-                again.map_err(|e| ClientError::NoAnswer(e.to_string()))
+                again.map_err(|e| ClientError::NoResponse(e.to_string()))
             }
             result => result,
         }
--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -78,14 +78,14 @@
         let link_shutdown = shutdown.clone();
         let secret = Secret::from(settings.secret.as_str());
         let bounds = HttpSettings {
-            drain_limit: ANNOUNCEMENT_LIMIT,
+            drain_timeout: ANNOUNCEMENT_LIMIT,
             ..HttpSettings::default()
         };
         let caller_bounds = HttpSettings {
-            drain_limit: Duration::from_millis(settings.drain),
-            connections: settings.connections,
-            header_limit: Duration::from_millis(settings.header_wait),
-            stall_limit: Duration::from_millis(settings.caller_stall),
+            drain_timeout: Duration::from_millis(settings.drain),
+            max_connections: settings.connections,
+            header_timeout: Duration::from_millis(settings.header_wait),
+            stall_timeout: Duration::from_millis(settings.caller_stall),
             ..HttpSettings::default()
         };
         let callers = HttpListener::bind(settings.callers, caller_bounds).await?;
@@ -224,12 +224,12 @@
         answer.map(|body| OpenBody::new(body, open).boxed_unsync())
     }
 
-    fn busy_answer(&self) -> Vec<u8> {
+    fn busy_response(&self) -> Vec<u8> {
         let refused = Refused::new(Code::Overloaded, "too many connections are open");
         refused.with_retry(BUSY_RETRY).into_bytes()
     }
 
-    fn unreadable_answer(&self, status: StatusCode) -> Vec<u8> {
+    fn parse_error_response(&self, status: StatusCode) -> Vec<u8> {
         let (code, problem) = match status {
             StatusCode::URI_TOO_LONG => (Code::UriTooLong, "the path and query are too long"),
             StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE => {
--- a/crates/sequoiawing_router/src/relay.rs
+++ b/crates/sequoiawing_router/src/relay.rs
@@ -14,7 +14,7 @@
     header::{self, HeaderValue},
     http::response::Parts,
 };
-use sequoiawing_http::{Body, BodyError, ClientBody, Events, remove_hop_headers};
+use sequoiawing_http::{Body, BodyError, ClientBody, SseSplitter, remove_hop_headers};
 use sequoiawing_runtime::sleep;
 use sequoiawing_types::{Name, Ran, Time};
 use std::{
@@ -106,7 +106,7 @@
     assignment: Option<Assignment>,
     watchdog: Watchdog,
     /// Present for streams whose end can be told from a cut.
-    events: Option<Events>,
+    events: Option<SseSplitter>,
     resume: Option<Box<Resume>>,
     resuming: Option<Resuming>,
     /// Why the answer is about to break off.
@@ -150,7 +150,7 @@
             withdrawn,
             assignment: Some(assignment),
             watchdog,
-            events: is_stream.then(Events::default),
+            events: is_stream.then(SseSplitter::default),
             resume,
             resuming: None,
             failing: None,
@@ -184,7 +184,7 @@
 
     /// Handles the end of the upstream's body, with or without an error.
     fn end(&mut self, error: Option<BodyError>) -> Option<BodyError> {
-        if self.events.as_ref().is_some_and(Events::is_done) {
+        if self.events.as_ref().is_some_and(SseSplitter::is_done) {
             return None;
         }
         let cut = self.events.is_some();
@@ -203,7 +203,7 @@
             return false;
         };
         let events = self.events.get_or_insert_default();
-        events.cut();
+        events.discard_partial();
         let failed = self.assignment.take().map(|a| a.upstream.clone());
         self.resuming = resume.start(events.count(), failed);
         self.resuming.is_some()
--- a/tests/requests/fleet.rs
+++ b/tests/requests/fleet.rs
@@ -341,7 +341,7 @@
         }
         let request = request.body(from_bytes(self.body)).expect("it is sound");
         let client = Client::new(PATIENCE);
-        let answer = client.send_anew(self.to, request).await;
+        let answer = client.send_on_new_connection(self.to, request).await;
         answer.expect("the router answers")
     }
 
