--- a/crates/sequoiawing_standin/src/announcer.rs
+++ b/crates/sequoiawing_standin/src/announcer.rs
@@ -12,53 +12,56 @@
 const ANNOUNCE_PATH: &str = "/sequoiawing/announce";
 const RENEW_PATH: &str = "/sequoiawing/renew";
 
-/// How long an announcement may take.
-const CALL_LIMIT: Duration = Duration::from_millis(500);
+/// How long one announcement or renewal may take.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a stand-in without requests waits for its connections to close.
-pub(crate) const LISTENER_LIMIT: Duration = Duration::from_secs(1);
+/// How long a drained upstream waits for its connections to close.
+pub(crate) const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The intervals for which an announcement holds.
+/// The number of intervals for which an announcement is valid.
 const LIFETIME_INTERVALS: u64 = 3;
 
-/// The shortest time for which an announcement holds, in milliseconds.
+/// The minimum validity of an announcement, in milliseconds.
 const MIN_LIFETIME: u64 = 300;
 
-/// Returns how long an announcement holds, in milliseconds.
+/// Returns the validity of an announcement, in milliseconds.
 pub(crate) fn lifetime(interval: u64) -> u64 {
     (interval * LIFETIME_INTERVALS).max(MIN_LIFETIME)
 }
 
-/// Announces an upstream to one router after the other.
+/// Announces an upstream to its routers. It stays with one router until that
+/// one fails.
 pub(crate) struct Announcer {
     pub(crate) routers: Vec<SocketAddr>,
     pub(crate) credential: String,
     pub(crate) interval: Duration,
-    /// Changes when something is to be announced at once.
-    pub(crate) news: Watch<u64>,
+    /// Changes when the state must be announced at once.
+    pub(crate) changes: Watch<u64>,
 }
 
 impl Announcer {
-    /// Announces what `describe` returns until shutdown starts.
+    /// Announces the state that `describe` returns until shutdown starts.
     pub(crate) async fn run<F>(self, describe: F, shutdown: Shutdown)
     where
         F: Fn() -> UpstreamState + Send,
     {
-        let client = Client::new(CALL_LIMIT);
-        let mut turn = 0;
-        let mut whole = None;
+        let client = Client::new(ANNOUNCE_TIMEOUT);
+        let mut next_router = 0;
+        let mut last_full = None;
         loop {
-            let told = self.news.get();
+            let announced = self.changes.get();
             let state = describe();
             for _ in 0..self.routers.len() {
-                let router = self.routers[turn % self.routers.len()];
-                if self.tell(&client, router, &state, &mut whole).await {
+                let router = self.routers[next_router % self.routers.len()];
+                if self.announce(&client, router, &state, &mut last_full).await {
                     break;
                 }
-                turn += 1;
+                next_router += 1;
             }
             let changed = async {
-                self.news.wait_until(|news| *news != told).await;
+                self.changes
+                    .wait_until(|current| *current != announced)
+                    .await;
             };
             if shutdown
                 .or(changed.or(sleep(self.interval)))
@@ -70,16 +73,16 @@
         }
     }
 
-    /// Renews the last announcement, or makes another, and reports whether the
-    /// router took it.
-    async fn tell(
+    /// Renews the last announcement or sends a full one, and reports whether the
+    /// router accepted it.
+    async fn announce(
         &self,
         client: &Client,
         router: SocketAddr,
         state: &UpstreamState,
-        whole: &mut Option<Whole>,
+        last_full: &mut Option<FullAnnouncement>,
     ) -> bool {
-        if let Some(renewal) = whole.as_ref().and_then(|w| w.renewal(state)) {
+        if let Some(renewal) = last_full.as_ref().and_then(|f| f.renewal(state)) {
             match self.post(client, router, RENEW_PATH, &renewal).await {
                 None => return false,
                 Some(status) if status.is_success() => return true,
@@ -87,15 +90,16 @@
             }
         }
         let status = self.post(client, router, ANNOUNCE_PATH, state).await;
-        let taken = status.is_some_and(|s| s.is_success());
-        *whole = taken.then(|| Whole {
+        let accepted = status.is_some_and(|s| s.is_success());
+        *last_full = accepted.then(|| FullAnnouncement {
             state: state.clone(),
-            at: Instant::now(),
+            sent_at: Instant::now(),
         });
-        taken
+        accepted
     }
 
-    /// Returns the answer's status; `None` when none came.
+    /// Sends a request and returns the status of its response, or `None` if there
+    /// was no response.
     async fn post<T>(
         &self,
         client: &Client,
@@ -115,35 +119,35 @@
             .body(from_bytes(json))
             .ok()?;
         let exchange = async {
-            let answer = client.send(router, request).await.ok()?;
-            let status = answer.status();
-            http_body_util::BodyExt::collect(answer.into_body())
+            let response = client.send(router, request).await.ok()?;
+            let status = response.status();
+            http_body_util::BodyExt::collect(response.into_body())
                 .await
                 .ok()?;
             Some(status)
         };
-        timeout(CALL_LIMIT, exchange).await.flatten()
+        timeout(ANNOUNCE_TIMEOUT, exchange).await.flatten()
     }
 }
 
-/// The last whole announcement.
-struct Whole {
+/// The last full announcement.
+struct FullAnnouncement {
     state: UpstreamState,
-    at: Instant,
+    sent_at: Instant,
 }
 
-impl Whole {
-    /// Returns what renews the announcement, unless a whole one is due or more
+impl FullAnnouncement {
+    /// Returns a renewal of the announcement, unless a full one is due or more
     /// than the load has changed.
     fn renewal(&self, state: &UpstreamState) -> Option<Renewal> {
-        let due = self.at.elapsed() >= Renewal::WHOLE_INTERVAL;
-        let fits = !due && self.state.differs_in_load_only(state);
-        fits.then(|| Renewal::of(state, self.state.sequence))
+        let is_due = self.sent_at.elapsed() >= Renewal::WHOLE_INTERVAL;
+        let is_renewable = !is_due && self.state.differs_in_load_only(state);
+        is_renewable.then(|| Renewal::of(state, self.state.sequence))
     }
 }
 
-/// Returns a number that grows with each start of a stand-in.
+/// Returns an epoch from the clock, which increases with each start.
 pub(crate) fn new_epoch() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(1, |d| u64::try_from(d.as_micros()).unwrap_or(u64::MAX))
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(1, |d| u64::try_from(d.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/sequoiawing_standin/src/drain.rs
+++ b/crates/sequoiawing_standin/src/drain.rs
@@ -1,30 +1,33 @@
-//! How a stand-in leaves without cutting a request.
+//! Graceful shutdown of a simulated upstream.
 
 use sequoiawing_runtime::{sleep, timeout};
 use std::time::Duration;
 
-/// How often a leaving stand-in looks whether its requests have ended.
-const POLL: Duration = Duration::from_millis(10);
+/// How often a draining upstream checks whether its requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves what still comes until all routers know that the stand-in leaves,
-/// and waits for what runs.
+/// Keeps serving for `notice_ms` milliseconds, in which all routers learn that
+/// the upstream is leaving, then waits up to `limit_ms` milliseconds for running
+/// requests.
 ///
-/// Returns the number of requests that still ran at the limit; `farewell` and
-/// `limit` are in milliseconds.
-pub(crate) async fn drain<F>(part: &'static str, farewell: u64, limit: u64, running: F) -> u32
+/// Returns the number of requests that were still running at the end.
+pub(crate) async fn drain<F>(target: &'static str, notice_ms: u64, limit_ms: u64, running: F) -> u32
 where
     F: Fn() -> u32,
 {
-    sleep(Duration::from_millis(farewell)).await;
+    sleep(Duration::from_millis(notice_ms)).await;
     let idle = async {
         while running() > 0 {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(Duration::from_millis(limit), idle).await;
+    timeout(Duration::from_millis(limit_ms), idle).await;
     let abandoned = running();
     if abandoned > 0 {
-        log::warn!(target: part, "Abandoned {abandoned} requests.");
+        log::warn!(
+            target: target,
+            "Draining timed out after {limit_ms} ms with {abandoned} requests still running."
+        );
     }
     abandoned
 }
--- a/crates/sequoiawing_standin/src/engine.rs
+++ b/crates/sequoiawing_standin/src/engine.rs
@@ -1,9 +1,9 @@
 use crate::{
     EngineSettings, Fault,
-    announcer::{Announcer, LISTENER_LIMIT, lifetime, new_epoch},
+    announcer::{Announcer, SHUTDOWN_TIMEOUT, lifetime, new_epoch},
     drain::drain,
-    generate::{CompletionBody, Generation, Pace},
-    seen::Seen,
+    generate::{CompletionBody, EventSettings, TokenStream},
+    request_log::RequestLog,
     store::Store,
 };
 use bytes::Bytes;
@@ -31,9 +31,9 @@
 const OFFSET_HEADER: &str = "sequoiawing-resume-offset";
 const RAN_HEADER: &str = "sequoiawing-ran";
 
-/// How long a broken answer waits behind its first half, so that the half is
+/// How long an aborted response waits after its first half, so that the half is
 /// sent.
-pub(crate) const BREAK_PAUSE: Duration = Duration::from_millis(5);
+pub(crate) const ABORT_DELAY: Duration = Duration::from_millis(5);
 
 #[derive(Default)]
 struct Inner {
@@ -42,140 +42,144 @@
     leaving: bool,
     fault: Fault,
     running: u32,
-    served: u64,
+    started_requests: u64,
     loaded: BTreeMap<Name, u64>,
     adapters: BTreeSet<Name>,
     loading: BTreeMap<Name, u64>,
     failed: BTreeSet<Name>,
     cached: BTreeSet<Name>,
+    /// The models and adapters that were used since the last announcement.
     active: BTreeSet<Name>,
-    /// The running requests of each model and adapter.
-    using: BTreeMap<Name, u32>,
-    orders: BTreeSet<(u64, u64)>,
-    loads: u64,
+    /// The number of running requests, by model and adapter.
+    in_use: BTreeMap<Name, u32>,
+    /// The fencing numbers and ids of the orders so far, for deduplication.
+    handled_orders: BTreeSet<(u64, u64)>,
+    started_loads: u64,
 }
 
 struct Shared {
-    news: Watch<u64>,
+    changes: Watch<u64>,
     settings: EngineSettings,
     address: SocketAddr,
     epoch: u64,
     store: Store,
-    seen: Seen,
+    request_log: RequestLog,
     inner: Mutex<Inner>,
 }
 
-/// A stand-in for an engine, which loads models and streams made-up tokens.
+/// A simulated engine, which loads models and streams generated tokens.
 pub struct Engine {
     shared: Arc<Shared>,
     shutdown: Shutdown,
-    listening: Task<usize>,
+    listener_task: Task<usize>,
 }
 
 impl Engine {
-    /// Starts the stand-in.
+    /// Starts the listener and the announcements.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system when the address is taken.
+    /// Returns the error of the operating system if the address cannot be bound.
     pub async fn start(settings: EngineSettings) -> io::Result<Self> {
         let shutdown = Shutdown::new();
         let listener = HttpListener::bind(settings.listen, HttpSettings::default()).await?;
         let address = listener.address()?;
-        let news = Watch::default();
+        let changes = Watch::default();
         let announcer = Announcer {
             routers: settings.routers.clone(),
             credential: settings.credential.clone(),
             interval: Duration::from_millis(settings.interval),
-            news: news.clone(),
+            changes: changes.clone(),
         };
         let store = Store::new(settings.store);
         let shared = Arc::new(Shared {
-            news,
+            changes,
             settings,
             address,
             epoch: new_epoch(),
             store,
-            seen: Seen::default(),
+            request_log: RequestLog::default(),
             inner: Mutex::default(),
         });
         let handler = Arc::new(EngineHandler(shared.clone()));
-        let listening = spawn(listener.serve(handler, shutdown.clone()));
-        let described = shared.clone();
-        let describe = move || described.describe();
+        let listener_task = spawn(listener.serve(handler, shutdown.clone()));
+        let state_source = shared.clone();
+        let describe = move || state_source.describe();
         spawn(announcer.run(describe, shutdown.clone())).detach();
         Ok(Self {
             shared,
             shutdown,
-            listening,
+            listener_task,
         })
     }
 
-    /// Returns where the stand-in takes requests.
+    /// Returns the address for requests.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Returns the number of requests that it has begun to serve.
-    pub fn served(&self) -> u64 {
-        self.shared.inner.lock().served
+    /// Returns the number of requests that were started.
+    pub fn started_requests(&self) -> u64 {
+        self.shared.inner.lock().started_requests
     }
 
-    /// Returns the number of model loads that it has begun.
-    pub fn loads(&self) -> u64 {
-        self.shared.inner.lock().loads
+    /// Returns the number of model loads that were started.
+    pub fn started_loads(&self) -> u64 {
+        self.shared.inner.lock().started_loads
     }
 
     /// Returns the names of the loaded models.
-    pub fn loaded(&self) -> Vec<Name> {
+    pub fn loaded_models(&self) -> Vec<Name> {
         self.shared.inner.lock().loaded.keys().cloned().collect()
     }
 
-    /// Returns the requests that run now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.shared.inner.lock().running
     }
 
-    /// Returns the last requests with all their bytes, if it records them.
-    pub fn seen(&self) -> Vec<String> {
-        self.shared.seen.list()
+    /// Returns the most recent requests with headers and bodies, if the `record`
+    /// setting is on.
+    pub fn recorded_requests(&self) -> Vec<String> {
+        self.shared.request_log.list()
     }
 
-    /// Makes the stand-in fail from now on.
+    /// Injects a fault from now on.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.inner.lock().fault = fault;
     }
 
-    /// Announces that the stand-in wants no new work.
+    /// Announces that the upstream is leaving and wants no new requests.
     pub fn leave(&self) {
         self.shared.inner.lock().leaving = true;
-        self.shared.tell();
+        self.shared.notify_announcer();
     }
 
-    /// Leaves without cutting a request: announces that it leaves, serves what
-    /// still comes until all routers know, and ends what runs.
+    /// Shuts down gracefully: announces that the upstream is leaving, keeps
+    /// serving until all routers know, and waits for running requests.
     ///
-    /// Returns the number of requests that still ran at the drain limit.
+    /// Returns the number of requests that were still running when the drain
+    /// timed out.
     pub async fn drain(self) -> u32 {
         self.leave();
         let settings = &self.shared.settings;
         let running = || self.running();
         let abandoned = drain("engine", settings.farewell, settings.drain, running).await;
         self.shutdown.start();
-        timeout(LISTENER_LIMIT, self.listening).await;
+        timeout(SHUTDOWN_TIMEOUT, self.listener_task).await;
         abandoned
     }
 
-    /// Stops answering and announcing.
+    /// Stops serving and announcing.
     pub fn stop(&self) {
         self.shutdown.start();
     }
 }
 
 impl Shared {
-    /// Has the upstream announced at once.
-    fn tell(&self) {
-        self.news.set(self.news.get().wrapping_add(1));
+    /// Triggers an announcement without waiting for the next interval.
+    fn notify_announcer(&self) {
+        self.changes.set(self.changes.get().wrapping_add(1));
     }
 
     fn describe(&self) -> UpstreamState {
@@ -183,7 +187,7 @@
         let mut inner = self.inner.lock();
         inner.sequence += 1;
         let mut active = std::mem::take(&mut inner.active);
-        active.extend(inner.using.keys().cloned());
+        active.extend(inner.in_use.keys().cloned());
         UpstreamState {
             name: settings.name.clone(),
             pool: settings.pool.clone(),
@@ -210,7 +214,7 @@
         }
     }
 
-    fn order(self: &Arc<Self>, order: Order) -> OrderReply {
+    fn apply_order(self: &Arc<Self>, order: Order) -> OrderReply {
         let mut inner = self.inner.lock();
         if self.settings.fenced && order.fence < inner.fence {
             let fence = inner.fence;
@@ -220,7 +224,7 @@
             return rejected("the order is for another start of this upstream");
         }
         inner.fence = inner.fence.max(order.fence);
-        if !inner.orders.insert((order.fence, order.id)) {
+        if !inner.handled_orders.insert((order.fence, order.id)) {
             return OrderReply::Accepted;
         }
         match order.kind {
@@ -245,14 +249,14 @@
         if inner.loaded.contains_key(&model) || inner.loading.contains_key(&model) {
             return OrderReply::Accepted;
         }
-        let held: u64 = inner.loaded.values().chain(inner.loading.values()).sum();
-        if held + memory > self.settings.memory {
+        let reserved: u64 = inner.loaded.values().chain(inner.loading.values()).sum();
+        if reserved + memory > self.settings.memory {
             return rejected("the memory does not suffice");
         }
         inner.failed.remove(&model);
         inner.loading.insert(model.clone(), memory);
-        inner.loads += 1;
-        let fails = inner.fault == Fault::FailLoads;
+        inner.started_loads += 1;
+        let is_failing = inner.fault == Fault::FailLoads;
         let shared = self.clone();
         spawn(async move {
             shared
@@ -261,13 +265,13 @@
                 .await;
             let mut inner = shared.inner.lock();
             inner.loading.remove(&model);
-            if fails {
+            if is_failing {
                 inner.failed.insert(model);
             } else {
                 inner.loaded.insert(model, memory);
             }
             drop(inner);
-            shared.tell();
+            shared.notify_announcer();
         })
         .detach();
         OrderReply::Accepted
@@ -282,29 +286,29 @@
         spawn(async move {
             sleep(Duration::from_millis(shared.settings.adapter)).await;
             shared.inner.lock().adapters.insert(adapter);
-            shared.tell();
+            shared.notify_announcer();
         })
         .detach();
         OrderReply::Accepted
     }
 
-    /// Notes that a request for the model begins, if it is loaded.
-    fn begin(self: &Arc<Self>, model: &str) -> Option<Serving> {
+    /// Starts a request. Returns `None` if its model or adapter is not loaded.
+    fn begin_request(self: &Arc<Self>, model: &str) -> Option<RunningRequest> {
         let mut inner = self.inner.lock();
         let base = model.split(':').next().unwrap_or_default();
-        let adapted = !model.contains(':') || inner.adapters.contains(model);
-        if !inner.loaded.contains_key(base) || !adapted {
+        let has_adapter = !model.contains(':') || inner.adapters.contains(model);
+        if !inner.loaded.contains_key(base) || !has_adapter {
             return None;
         }
         let names = BTreeSet::from([Name::from(base), Name::from(model)]);
         for name in &names {
             inner.active.insert(name.clone());
-            *inner.using.entry(name.clone()).or_default() += 1;
+            *inner.in_use.entry(name.clone()).or_default() += 1;
         }
         inner.running += 1;
-        inner.served += 1;
+        inner.started_requests += 1;
         let shared = self.clone();
-        Some(Serving { shared, names })
+        Some(RunningRequest { shared, names })
     }
 }
 
@@ -313,32 +317,32 @@
     OrderReply::Rejected { problem }
 }
 
-/// Counts a request as running for as long as its answer lasts.
-struct Serving {
+/// Counts a request as running until its response ends.
+struct RunningRequest {
     shared: Arc<Shared>,
     names: BTreeSet<Name>,
 }
 
-impl Drop for Serving {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let mut inner = self.shared.inner.lock();
         inner.running -= 1;
         for name in &self.names {
-            if let Some(count) = inner.using.get_mut(name) {
+            if let Some(count) = inner.in_use.get_mut(name) {
                 *count -= 1;
             }
         }
-        inner.using.retain(|_, count| *count > 0);
+        inner.in_use.retain(|_, count| *count > 0);
     }
 }
 
 struct EngineHandler(Arc<Shared>);
 
 impl EngineHandler {
-    async fn take_order(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle_order(&self, request: Request<Incoming>) -> Response<Body> {
         let expected = format!("Bearer {}", self.0.settings.credential);
-        let shown = request.headers().get(header::AUTHORIZATION);
-        if shown.is_none_or(|v| v.as_bytes() != expected.as_bytes()) {
+        let authorization = request.headers().get(header::AUTHORIZATION);
+        if authorization.is_none_or(|v| v.as_bytes() != expected.as_bytes()) {
             return respond(StatusCode::UNAUTHORIZED, "the credential is wrong");
         }
         let Ok(body) = request.into_body().collect().await else {
@@ -346,7 +350,7 @@
         };
         match serde_json::from_slice::<Order>(&body.to_bytes()) {
             Ok(order) => {
-                let reply = self.0.order(order);
+                let reply = self.0.apply_order(order);
                 let json = serde_json::to_string(&reply).unwrap_or_default();
                 respond(StatusCode::OK, &json)
             }
@@ -354,7 +358,7 @@
         }
     }
 
-    async fn complete(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle_completion(&self, request: Request<Incoming>) -> Response<Body> {
         let (parts, body) = request.into_parts();
         let Ok(body) = body.collect().await else {
             return respond(StatusCode::BAD_REQUEST, "the request broke off");
@@ -362,32 +366,33 @@
         let body = body.to_bytes();
         if self.0.settings.record {
             self.0
-                .seen
-                .note(&parts.method, &parts.uri, &parts.headers, &body);
+                .request_log
+                .record(&parts.method, &parts.uri, &parts.headers, &body);
         }
         let Ok(completion) = serde_json::from_slice::<CompletionBody>(&body) else {
             return respond(StatusCode::BAD_REQUEST, "the request is unreadable");
         };
         let fault = self.0.inner.lock().fault;
-        let serving = match fault {
+        let running = match fault {
             Fault::Refuse => None,
-            _ => self.0.begin(&completion.model),
+            _ => self.0.begin_request(&completion.model),
         };
-        let mut response = match serving {
-            Some(serving) => {
+        let mut response = match running {
+            Some(running) => {
                 let offset = resume_offset(&parts.headers);
-                self.generate(&completion, serving, fault, offset).await
+                self.generate_response(&completion, running, fault, offset)
+                    .await
             }
-            None => not_run("the model is not loaded"),
+            None => not_run_response("the model is not loaded"),
         };
-        echo(&parts.headers, &mut response, fault);
+        echo_headers(&parts.headers, &mut response, fault);
         response
     }
 
-    async fn generate(
+    async fn generate_response(
         &self,
         completion: &CompletionBody,
-        serving: Serving,
+        running: RunningRequest,
         fault: Fault,
         offset: u64,
     ) -> Response<Body> {
@@ -402,47 +407,48 @@
         }
         if completion.stream {
             let padding = settings.padding;
-            let pace = Pace { gap, padding };
-            return Generation::new(completion, offset, pace, fault, serving).into_response();
+            let events = EventSettings { gap, padding };
+            return TokenStream::new(completion, offset, events, fault, running).into_response();
         }
         let rest = u32::try_from(completion.tokens().saturating_sub(1)).unwrap_or(u32::MAX);
         sleep(gap * rest).await;
-        drop(serving);
-        whole_or_cut(&completion.whole(), fault)
+        drop(running);
+        full_or_partial(&completion.complete_response(), fault)
     }
 }
 
-/// Returns the event from which a stream is asked for.
+/// Returns the position of the first event that a request asks for.
 fn resume_offset(headers: &HeaderMap) -> u64 {
     let offset = headers.get(OFFSET_HEADER).and_then(|v| v.to_str().ok());
     offset.and_then(|v| v.parse().ok()).unwrap_or(0)
 }
 
-/// Echoes what names the attempt and where its stream begins.
-pub(crate) fn echo(from: &HeaderMap, response: &mut Response<Body>, fault: Fault) {
+/// Copies the attempt id and the stream offset from a request to its response.
+pub(crate) fn echo_headers(request: &HeaderMap, response: &mut Response<Body>, fault: Fault) {
     for name in [ATTEMPT_HEADER, OFFSET_HEADER] {
-        if let Some(value) = from.get(name) {
+        if let Some(value) = request.get(name) {
             response.headers_mut().insert(name, value.clone());
         }
     }
-    if fault == Fault::Cross {
-        let another = header::HeaderValue::from_static("another");
-        response.headers_mut().insert(ATTEMPT_HEADER, another);
+    if fault == Fault::WrongAttempt {
+        let value = header::HeaderValue::from_static("another");
+        response.headers_mut().insert(ATTEMPT_HEADER, value);
     }
 }
 
-/// Returns an answer of known length, or the half of one.
-pub(crate) fn whole_or_cut(text: &str, fault: Fault) -> Response<Body> {
-    if !matches!(fault, Fault::BreakOff | Fault::FallSilent) {
+/// Returns a complete response, or the first half of one if the fault demands
+/// it.
+pub(crate) fn full_or_partial(text: &str, fault: Fault) -> Response<Body> {
+    if !matches!(fault, Fault::Abort | Fault::Stall) {
         return respond(StatusCode::OK, text);
     }
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
     let rest = async move {
-        if fault == Fault::FallSilent {
+        if fault == Fault::Stall {
             std::future::pending::<()>().await;
         }
-        sleep(BREAK_PAUSE).await;
-        Err::<Bytes, BodyError>("broken off".into())
+        sleep(ABORT_DELAY).await;
+        Err::<Bytes, BodyError>("response aborted by an injected fault".into())
     };
     let parts = stream::once(Ok(half)).chain(stream::once_future(rest));
     let mut response = Response::new(from_stream(parts));
@@ -453,11 +459,11 @@
     response
 }
 
-/// Returns the answer to a request that was not begun.
-pub(crate) fn not_run(problem: &str) -> Response<Body> {
+/// Returns the response to a request that did not run.
+pub(crate) fn not_run_response(problem: &str) -> Response<Body> {
     let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, problem);
-    let no = header::HeaderValue::from_static("no");
-    response.headers_mut().insert(RAN_HEADER, no);
+    let value = header::HeaderValue::from_static("no");
+    response.headers_mut().insert(RAN_HEADER, value);
     response
 }
 
@@ -470,8 +476,8 @@
 impl Handler for EngineHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         match request.uri().path() {
-            ORDER_PATH => self.take_order(request).await,
-            _ => self.complete(request).await,
+            ORDER_PATH => self.handle_order(request).await,
+            _ => self.handle_completion(request).await,
         }
     }
 }
--- a/crates/sequoiawing_standin/src/fault.rs
+++ b/crates/sequoiawing_standin/src/fault.rs
@@ -1,53 +1,62 @@
 use serde::{Deserialize, Serialize};
 
-/// How a stand-in fails.
+/// A fault that a simulated upstream injects.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// It does not fail.
+    /// No fault.
     #[default]
     None,
-    /// It takes requests and never answers.
+    /// Accepts requests and never responds.
     Freeze,
-    /// It begins to answer and then sends nothing more.
-    FallSilent,
-    /// It breaks each answer off half-way.
-    BreakOff,
-    /// It ends each answer half-way as if it were whole.
-    CutShort,
-    /// It names another attempt in its answers.
-    Cross,
-    /// It answers with an error of its own.
+    /// Starts each response and then stops sending.
+    #[serde(rename = "fall_silent")]
+    Stall,
+    /// Aborts each response half-way.
+    #[serde(rename = "break_off")]
+    Abort,
+    /// Ends each stream half-way as if it were complete.
+    #[serde(rename = "cut_short")]
+    Truncate,
+    /// Names another attempt in its responses.
+    #[serde(rename = "cross")]
+    WrongAttempt,
+    /// Responds with an internal server error.
     Fail,
-    /// It takes no requests and says so.
+    /// Refuses requests and states that they did not run.
     Refuse,
-    /// It answers with bytes that are no HTTP.
-    Rubbish,
-    /// It sends a second answer behind each that was asked for.
-    StrayAnswer,
-    /// It does not say how long its answers are, and cuts them.
+    /// Responds with bytes that are not HTTP.
+    #[serde(rename = "rubbish")]
+    InvalidHttp,
+    /// Sends a second response after each requested one.
+    #[serde(rename = "stray_answer")]
+    ExtraResponse,
+    /// Sends truncated responses without a length.
     Unframed,
-    /// It closes each connection when a second request arrives on it.
+    /// Closes each connection when a second request arrives on it.
     CloseIdle,
-    /// It answers before it has read the request.
-    AnswerEarly,
-    /// It reads a request and closes the connection.
-    HangUp,
-    /// Its loads fail.
+    /// Responds before it has read the request body.
+    #[serde(rename = "answer_early")]
+    EarlyResponse,
+    /// Reads a request and closes the connection without a response.
+    #[serde(rename = "hang_up")]
+    Disconnect,
+    /// Fails to load models.
     FailLoads,
 }
 
 impl Fault {
-    /// Reports whether the fault lies below HTTP.
+    /// Reports whether the fault violates HTTP, so that connections are served
+    /// without `hyper`.
     pub(crate) fn is_raw(self) -> bool {
         matches!(
             self,
-            Self::Rubbish
-                | Self::StrayAnswer
+            Self::InvalidHttp
+                | Self::ExtraResponse
                 | Self::Unframed
                 | Self::CloseIdle
-                | Self::AnswerEarly
-                | Self::HangUp
+                | Self::EarlyResponse
+                | Self::Disconnect
         )
     }
 }
--- a/crates/sequoiawing_standin/src/generate.rs
+++ b/crates/sequoiawing_standin/src/generate.rs
@@ -1,9 +1,9 @@
-//! The made-up answers of a stand-in for an engine.
+//! The generated responses of a simulated engine.
 //!
-//! The text of a request is the same on every stand-in, so that a stream can
-//! go on from another one.
+//! Every engine generates the same text for a request, so that a stream can be
+//! resumed on another engine.
 
-use crate::{Fault, engine::BREAK_PAUSE};
+use crate::{Fault, engine::ABORT_DELAY};
 use bytes::Bytes;
 use futures_lite::stream;
 use hyper::{Response, header};
@@ -13,10 +13,10 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The tokens of an answer when the request names no bound.
+/// The number of tokens in a response if the request sets no limit.
 const DEFAULT_TOKENS: u64 = 16;
 
-/// What a caller asks an engine for.
+/// The body of a completion request.
 #[derive(Deserialize)]
 pub(crate) struct CompletionBody {
     pub(crate) model: String,
@@ -29,18 +29,18 @@
 
 impl CompletionBody {
     pub(crate) fn tokens(&self) -> u64 {
-        let asked = self.max_completion_tokens.or(self.max_tokens);
-        asked.unwrap_or(DEFAULT_TOKENS)
+        let requested = self.max_completion_tokens.or(self.max_tokens);
+        requested.unwrap_or(DEFAULT_TOKENS)
     }
 
     fn is_chat(&self) -> bool {
         self.messages.is_some()
     }
 
-    /// Returns the whole answer as JSON.
-    pub(crate) fn whole(&self) -> String {
+    /// Returns the complete response as JSON.
+    pub(crate) fn complete_response(&self) -> String {
         let tokens = self.tokens();
-        let words: Vec<String> = (0..tokens).map(word).collect();
+        let words: Vec<String> = (0..tokens).map(token_text).collect();
         let text = words.join(" ");
         let choice = if self.is_chat() {
             let message = json!({ "role": "assistant", "content": text });
@@ -48,52 +48,52 @@
         } else {
             json!({ "index": 0, "text": text, "finish_reason": "stop" })
         };
-        let answer = json!({
+        let response = json!({
             "object": if self.is_chat() { "chat.completion" } else { "text_completion" },
             "model": self.model,
             "choices": [choice],
             "usage": { "completion_tokens": tokens },
         });
-        answer.to_string()
+        response.to_string()
     }
 }
 
-/// When the events of a stream come, and how large they are.
+/// The timing and size of the events of a stream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct EventSettings {
     /// The time between events.
     pub(crate) gap: Duration,
-    /// The further bytes of each event.
+    /// The padding of each event, in bytes.
     pub(crate) padding: usize,
 }
 
-/// A streamed answer from one event on.
-pub(crate) struct Generation<G> {
-    chat: bool,
+/// A streamed response that starts at a given event.
+pub(crate) struct TokenStream<G> {
+    is_chat: bool,
     tokens: u64,
     offset: u64,
-    pace: Pace,
+    event_settings: EventSettings,
     fault: Fault,
-    /// Held until the answer has ended.
+    /// Held until the response has ended.
     _guard: G,
 }
 
-impl<G> Generation<G>
+impl<G> TokenStream<G>
 where
     G: Send + Sync + 'static,
 {
     pub(crate) fn new(
         completion: &CompletionBody,
         offset: u64,
-        pace: Pace,
+        event_settings: EventSettings,
         fault: Fault,
         guard: G,
     ) -> Self {
         Self {
-            chat: completion.is_chat(),
+            is_chat: completion.is_chat(),
             tokens: completion.tokens(),
             offset,
-            pace,
+            event_settings,
             fault,
             _guard: guard,
         }
@@ -101,9 +101,9 @@
 
     pub(crate) fn into_response(self) -> Response<Body> {
         let first = self.offset;
-        let events = stream::unfold((self, first), |(generation, position)| async move {
-            let event = generation.event(position).await?;
-            Some((event, (generation, position + 1)))
+        let events = stream::unfold((self, first), |(tokens, position)| async move {
+            let event = tokens.event(position).await?;
+            Some((event, (tokens, position + 1)))
         });
         let mut response = Response::new(from_stream(events));
         let value = header::HeaderValue::from_static("text/event-stream");
@@ -114,17 +114,17 @@
     async fn event(&self, position: u64) -> Option<Result<Bytes, BodyError>> {
         if position == self.tokens / 2 {
             match self.fault {
-                Fault::BreakOff => {
-                    sleep(BREAK_PAUSE).await;
-                    return Some(Err("broken off".into()));
+                Fault::Abort => {
+                    sleep(ABORT_DELAY).await;
+                    return Some(Err("response aborted by an injected fault".into()));
                 }
-                Fault::CutShort => return None,
-                Fault::FallSilent => std::future::pending().await,
+                Fault::Truncate => return None,
+                Fault::Stall => std::future::pending().await,
                 _ => {}
             }
         }
         if position > self.offset {
-            sleep(self.pace.gap).await;
+            sleep(self.event_settings.gap).await;
         }
         let event = match position.checked_sub(self.tokens) {
             None => json!({ "choices": [self.choice(position)] }),
@@ -132,20 +132,20 @@
             Some(1) => return Some(Ok(Bytes::from_static(b"data: [DONE]\n\n"))),
             Some(_) => return None,
         };
-        // Spaces behind a JSON value mean nothing.
-        let padding = self.pace.padding;
+        // JSON parsers ignore trailing spaces.
+        let padding = self.event_settings.padding;
         Some(Ok(Bytes::from(format!("data: {event}{:padding$}\n\n", ""))))
     }
 
     fn choice(&self, position: u64) -> Value {
-        if self.chat {
-            return json!({ "index": 0, "delta": { "content": word(position) } });
+        if self.is_chat {
+            return json!({ "index": 0, "delta": { "content": token_text(position) } });
         }
-        json!({ "index": 0, "text": word(position) })
+        json!({ "index": 0, "text": token_text(position) })
     }
 }
 
-/// Returns the word that stands for the token at a position.
-fn word(position: u64) -> String {
+/// Returns the text of the token at a position.
+fn token_text(position: u64) -> String {
     format!("w{position}")
 }
--- a/crates/sequoiawing_standin/src/journal.rs
+++ b/crates/sequoiawing_standin/src/journal.rs
@@ -1,4 +1,5 @@
-//! What a stand-in did and when, in a file that outlives it.
+//! A log of the calls of a simulated service, in a file that outlives the
+//! process.
 
 use std::{
     fs::OpenOptions,
@@ -7,7 +8,7 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// A file of lines, each with the wall clock in milliseconds and what happened.
+/// A file of lines, each with the Unix time in milliseconds and an event.
 #[derive(Debug)]
 pub(crate) struct Journal(Option<PathBuf>);
 
@@ -16,23 +17,24 @@
         Self(file)
     }
 
-    /// Adds a line, if there is a file.
-    pub(crate) fn note(&self, what: &str) {
+    /// Appends an event, if a file is set.
+    pub(crate) fn append(&self, event: &str) {
         let Some(file) = &self.0 else {
             return;
         };
-        if let Err(error) = add_line(file, what) {
+        if let Err(error) = append_line(file, event) {
             let file = file.display();
-            log::error!(target: "service", "The journal {file} could not be written: {error}.");
+            log::error!(target: "service", "Failed to append to the journal {file}: {error}.");
         }
     }
 }
 
-/// Adds the line in one write, so that a kill leaves no half of one.
-fn add_line(file: &Path, what: &str) -> io::Result<()> {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let millis = since.map_or(0, |s| s.as_millis());
-    let line = format!("{millis} {what}\n");
+/// Appends the line in one write, so that killing the process leaves no partial
+/// line.
+fn append_line(file: &Path, event: &str) -> io::Result<()> {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    let millis = since_epoch.map_or(0, |s| s.as_millis());
+    let line = format!("{millis} {event}\n");
     let mut file = OpenOptions::new().create(true).append(true).open(file)?;
     file.write_all(line.as_bytes())
 }
--- a/crates/sequoiawing_standin/src/lib.rs
+++ b/crates/sequoiawing_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for engines, plain services and callers.
+//! Simulated engines, plain services and callers.
 //!
-//! They speak the interfaces in docs/UPSTREAMS.md and docs/CALLERS.md, so that
-//! a deployment can be tried and measured without accelerators.
+//! They implement the interfaces in docs/UPSTREAMS.md and docs/CALLERS.md, so
+//! that a deployment can be tested and measured without accelerators.
 
 mod announcer;
 mod drain;
@@ -12,7 +12,7 @@
 mod load;
 mod load_report;
 mod raw;
-mod seen;
+mod request_log;
 mod service;
 mod settings;
 mod store;
--- a/crates/sequoiawing_standin/src/load.rs
+++ b/crates/sequoiawing_standin/src/load.rs
@@ -13,46 +13,46 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// The header that names a request, echoed by routers.
-const REQUEST_ID: &str = "x-request-id";
+/// The header with the request id, which routers echo.
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// How many different lengths the answers have, so that one that belongs to
-/// another request is noticed.
-const LENGTHS: u64 = 7;
+/// The number of different response lengths, by which a response to another
+/// request is detected.
+const LENGTH_COUNT: u64 = 7;
 
-/// One of several customers whose requests a load tool sends.
+/// One of several customers of a load test.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct LoadCustomer {
-    /// The name in the report.
+    /// The name of the customer in the report.
     pub name: Name,
-    /// The key.
+    /// The key of the customer.
     pub key: String,
-    /// The requests that are sent in a second.
+    /// The number of requests per second.
     pub rate: u64,
 }
 
-/// What a load tool sends.
+/// The settings of a load test.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct LoadSettings {
-    /// The routers, used in turn.
+    /// The routers that requests are sent to, in rotation.
     pub routers: Vec<SocketAddr>,
-    /// The path.
+    /// The path of the requests.
     pub path: String,
     /// The key of a single customer.
     pub key: String,
-    /// The requests that a single customer sends in a second.
+    /// The number of requests per second of a single customer.
     pub rate: u64,
-    /// Several customers, in place of the single one.
+    /// Several customers, which replace the single one.
     pub customers: Vec<LoadCustomer>,
-    /// The models, used in turn; none for a plain service.
+    /// The models that are requested, in rotation; none for a plain service.
     pub models: Vec<String>,
-    /// How long requests are sent, in milliseconds.
+    /// The duration of the test, in milliseconds.
     pub span: u64,
-    /// The least tokens that a request asks for.
+    /// The minimum number of tokens that a request asks for.
     pub tokens: u64,
-    /// Whether answers are streamed.
+    /// Whether responses are streamed.
     pub stream: bool,
 }
 
@@ -105,10 +105,10 @@
     }
 }
 
-/// Sends requests at even rates, whether or not answers keep up.
+/// Sends requests at constant rates, independent of the response times.
 ///
-/// Times count from the moment at which a request was due, so that a tool or
-/// router that falls behind does not look fast.
+/// Times are measured from the moment at which a request was due, so that delays
+/// in the load test or in a router count.
 pub async fn run_load(settings: LoadSettings) -> LoadReport {
     let settings = Arc::new(settings);
     let report = Arc::new(Mutex::new(LoadReport::default()));
@@ -151,15 +151,15 @@
         let mut tasks = Vec::new();
         for i in 0..count {
             let due = Duration::from_micros(i * 1_000_000 / rate);
-            let early = due.saturating_sub(self.clock.elapsed());
-            if !early.is_zero() {
-                sleep(early).await;
+            let wait = due.saturating_sub(self.clock.elapsed());
+            if !wait.is_zero() {
+                sleep(wait).await;
             }
             let sender = self.clone();
             tasks.push(spawn(async move {
                 let outcome = sender.send(i, due).await;
                 let mut report = sender.report.lock();
-                report.note(&sender.customer.name, &outcome);
+                report.record(&sender.customer.name, &outcome);
             }));
         }
         for task in tasks {
@@ -168,47 +168,50 @@
     }
 
     async fn send(&self, i: u64, due: Duration) -> Outcome {
-        let tokens = self.settings.tokens + i % LENGTHS;
+        let tokens = self.settings.tokens + i % LENGTH_COUNT;
         let id = format!("{}-{i}", self.customer.name);
         let Some((router, request)) = self.request(i, &id, tokens) else {
             return Outcome::default();
         };
         let body = request_text(i);
-        let Ok(answer) = self.client.send(router, request).await else {
+        let Ok(response) = self.client.send(router, request).await else {
             return Outcome::default();
         };
         let mut outcome = Outcome {
-            status: answer.status().as_u16(),
+            status: response.status().as_u16(),
             ..Outcome::default()
         };
-        let echoed = answer.headers().get(REQUEST_ID).map(HeaderValue::as_bytes);
+        let echoed = response
+            .headers()
+            .get(REQUEST_ID_HEADER)
+            .map(HeaderValue::as_bytes);
         outcome.wrong = echoed.is_some_and(|e| e != id.as_bytes());
-        let Some(text) = self.read(answer, due, &mut outcome).await else {
+        let Some(text) = self.read_body(response, due, &mut outcome).await else {
             outcome.status = 0;
             return outcome;
         };
-        if outcome.status == 200 && !self.is_own(&text, &body, tokens) {
+        if outcome.status == 200 && !self.is_expected(&text, &body, tokens) {
             outcome.wrong = true;
         }
         outcome
     }
 
-    async fn read(
+    async fn read_body(
         &self,
-        answer: Response<ClientBody>,
+        response: Response<ClientBody>,
         due: Duration,
         outcome: &mut Outcome,
     ) -> Option<Bytes> {
-        let mut body = answer.into_body();
+        let mut body = response.into_body();
         let mut text = BytesMut::new();
-        let mut last = None;
+        let mut last_part = None;
         while let Some(frame) = body.frame().await {
             let now = self.clock.elapsed();
-            match last {
+            match last_part {
                 None => outcome.first = Some(now.saturating_sub(due)),
-                Some(before) => outcome.gaps.push(now.saturating_sub(before)),
+                Some(previous) => outcome.gaps.push(now.saturating_sub(previous)),
             }
-            last = Some(now);
+            last_part = Some(now);
             text.extend_from_slice(&frame.ok()?.into_data().unwrap_or_default());
         }
         outcome.took = self.clock.elapsed().saturating_sub(due);
@@ -217,9 +220,9 @@
 
     fn request(&self, i: u64, id: &str, tokens: u64) -> Option<(SocketAddr, Request<Body>)> {
         let settings = &self.settings;
-        let pick = |len: usize| usize::try_from(i).unwrap_or(0) % len.max(1);
-        let router = *settings.routers.get(pick(settings.routers.len()))?;
-        let body = match settings.models.get(pick(settings.models.len())) {
+        let index = |len: usize| usize::try_from(i).unwrap_or(0) % len.max(1);
+        let router = *settings.routers.get(index(settings.routers.len()))?;
+        let body = match settings.models.get(index(settings.models.len())) {
             Some(model) if !model.is_empty() => {
                 let body = serde_json::json!({
                     "model": model,
@@ -239,20 +242,20 @@
                 header::AUTHORIZATION,
                 format!("Bearer {}", self.customer.key),
             )
-            .header(REQUEST_ID, id)
+            .header(REQUEST_ID_HEADER, id)
             .body(from_bytes(body));
         Some((router, request.ok()?))
     }
 
-    /// Reports whether an answer is the whole one to its own request.
-    fn is_own(&self, text: &[u8], body: &str, tokens: u64) -> bool {
+    /// Reports whether a response is complete and belongs to its request.
+    fn is_expected(&self, text: &[u8], body: &str, tokens: u64) -> bool {
         let text = String::from_utf8_lossy(text);
         if self.settings.models.iter().all(String::is_empty) {
             return text == format!("done: {body}");
         }
-        let last = format!("w{}\"", tokens - 1);
-        let ended = !self.settings.stream || text.ends_with("data: [DONE]\n\n");
-        ended && text.contains(&last) && !text.contains(&format!("w{tokens}\""))
+        let last_token = format!("w{}\"", tokens - 1);
+        let is_ended = !self.settings.stream || text.ends_with("data: [DONE]\n\n");
+        is_ended && text.contains(&last_token) && !text.contains(&format!("w{tokens}\""))
     }
 }
 
--- a/crates/sequoiawing_standin/src/load_report.rs
+++ b/crates/sequoiawing_standin/src/load_report.rs
@@ -3,43 +3,43 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, fmt, time::Duration};
 
-/// The longest time that a report tells apart, in microseconds.
-const MAX_MICROS: u64 = 3_600_000_000;
+/// The maximum time that a histogram records, in microseconds.
+const MAX_TIME_US: u64 = 3_600_000_000;
 
-/// The digits to which times are kept.
-const DIGITS: u8 = 3;
+/// The significant digits of recorded times.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What became of one request.
+/// The outcome of one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    /// The status; 0 stands for a broken or missing answer.
+    /// The HTTP status; 0 for a missing or incomplete response.
     pub(crate) status: u16,
-    /// Whether the answer belongs to another request or is not whole though it
-    /// says so.
+    /// Whether the response belongs to another request, or is truncated although
+    /// it ended normally.
     pub(crate) wrong: bool,
-    /// The time to the first byte of the body.
+    /// The time to the first part of the body.
     pub(crate) first: Option<Duration>,
-    /// The times between the parts of the body.
+    /// The times between parts of the body.
     pub(crate) gaps: Vec<Duration>,
-    /// The time to the end.
+    /// The time to the end of the body.
     pub(crate) took: Duration,
 }
 
-/// Times of one kind.
+/// A histogram of times, in microseconds.
 #[derive(Clone, Debug)]
-struct Times(Histogram<u64>);
+struct TimeHistogram(Histogram<u64>);
 
-impl Default for Times {
+impl Default for TimeHistogram {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, MAX_MICROS, DIGITS);
-        Self(histogram.expect("the bounds are sound"))
+        let histogram = Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS);
+        Self(histogram.expect("the histogram bounds are valid"))
     }
 }
 
-impl Times {
-    fn note(&mut self, time: Duration) {
-        let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS);
-        self.0.saturating_record(micros.clamp(1, MAX_MICROS));
+impl TimeHistogram {
+    fn record(&mut self, time: Duration) {
+        let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_TIME_US);
+        self.0.saturating_record(micros.clamp(1, MAX_TIME_US));
     }
 
     fn summary(&self) -> TimeSummary {
@@ -53,10 +53,10 @@
     }
 }
 
-/// The percentiles of times, in microseconds.
+/// Percentiles of times, in microseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct TimeSummary {
-    /// The number of times.
+    /// The number of recorded times.
     pub count: u64,
     /// The median.
     pub p50: u64,
@@ -64,63 +64,64 @@
     pub p95: u64,
     /// The 99th percentile.
     pub p99: u64,
-    /// The longest.
+    /// The maximum.
     pub max: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct CustomerReport {
+struct CustomerOutcomes {
     statuses: BTreeMap<u16, u64>,
     wrong: u64,
-    first: Times,
-    gaps: Times,
-    took: Times,
+    first: TimeHistogram,
+    gaps: TimeHistogram,
+    took: TimeHistogram,
 }
 
-/// What became of one customer's requests.
+/// The outcomes of the requests of one customer.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct CustomerSummary {
     /// The customer.
     pub customer: Name,
-    /// The requests by status; 0 stands for a broken or missing answer.
+    /// The number of requests by HTTP status; 0 for a missing or incomplete
+    /// response.
     pub statuses: BTreeMap<u16, u64>,
-    /// The answers that belong to another request or are not whole though they
-    /// say so.
+    /// The number of responses that belong to another request, or are truncated
+    /// although they ended normally.
     pub wrong: u64,
-    /// The times to the first byte of whole answers.
+    /// The times to the first part of complete responses.
     pub first: TimeSummary,
-    /// The times between the parts of whole answers.
+    /// The times between parts of complete responses.
     pub gaps: TimeSummary,
-    /// The times to the end of whole answers.
+    /// The times to the end of complete responses.
     pub took: TimeSummary,
 }
 
-/// What became of the requests of a load tool.
+/// The outcomes of the requests of a load test.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    customers: BTreeMap<Name, CustomerReport>,
+    customers: BTreeMap<Name, CustomerOutcomes>,
 }
 
 impl LoadReport {
-    pub(crate) fn note(&mut self, customer: &Name, outcome: &Outcome) {
+    pub(crate) fn record(&mut self, customer: &Name, outcome: &Outcome) {
         let report = self.customers.entry(customer.clone()).or_default();
         *report.statuses.entry(outcome.status).or_default() += 1;
         report.wrong += u64::from(outcome.wrong);
         if outcome.status != 200 || outcome.wrong {
             return;
         }
-        report.took.note(outcome.took);
+        report.took.record(outcome.took);
         if let Some(first) = outcome.first {
-            report.first.note(first);
+            report.first.record(first);
         }
         for gap in &outcome.gaps {
-            report.gaps.note(*gap);
+            report.gaps.record(*gap);
         }
     }
 
-    /// Returns what became of each customer's requests.
+    /// Returns the outcomes of the requests, by customer.
     pub fn summaries(&self) -> Vec<CustomerSummary> {
-        let summary = |(customer, report): (&Name, &CustomerReport)| CustomerSummary {
+        let summary = |(customer, report): (&Name, &CustomerOutcomes)| CustomerSummary {
             customer: customer.clone(),
             statuses: report.statuses.clone(),
             wrong: report.wrong,
@@ -131,7 +132,7 @@
         self.customers.iter().map(summary).collect()
     }
 
-    /// Returns the requests of all customers by status.
+    /// Returns the number of requests of all customers, by status.
     pub fn statuses(&self) -> BTreeMap<u16, u64> {
         let mut all = BTreeMap::new();
         for report in self.customers.values() {
@@ -145,9 +146,9 @@
 
 impl fmt::Display for LoadReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let head = ["count", "p50 ms", "p95 ms", "p99 ms", "max ms"];
+        let columns = ["count", "p50 ms", "p95 ms", "p99 ms", "max ms"];
         write!(f, "{:<16} {:<8}", "customer", "time")?;
-        for name in head {
+        for name in columns {
             write!(f, " {name:>10}")?;
         }
         writeln!(f)?;
@@ -157,10 +158,10 @@
                 ("gap", summary.gaps),
                 ("whole", summary.took),
             ];
-            for (what, times) in rows {
+            for (kind, times) in rows {
                 write!(
                     f,
-                    "{:<16} {what:<8} {:>10}",
+                    "{:<16} {kind:<8} {:>10}",
                     summary.customer.as_str(),
                     times.count
                 )?;
--- a/crates/sequoiawing_standin/src/raw.rs
+++ b/crates/sequoiawing_standin/src/raw.rs
@@ -1,17 +1,17 @@
-//! Connections on which a stand-in does not keep to HTTP.
+//! Connections on which a simulated upstream violates HTTP.
 
 use crate::Fault;
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::{io, time::Duration};
 
-/// The largest head of a request, in bytes.
-const HEAD_BYTES: usize = 64 * 1024;
+/// The maximum size of a request's headers, in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// How long a stand-in that answered too early keeps the connection open.
-const EARLY_PAUSE: Duration = Duration::from_millis(200);
+/// How long the connection stays open after an early response.
+const EARLY_CLOSE_DELAY: Duration = Duration::from_millis(200);
 
-/// A request as it came over the connection.
+/// A request as received from the connection.
 pub(crate) struct RawRequest {
     pub(crate) head: String,
     pub(crate) body: String,
@@ -25,8 +25,8 @@
         })
     }
 
-    /// Returns an answer that any caller would take for its own.
-    fn answer(&self, body: &str) -> String {
+    /// Returns a response that is valid for this request.
+    fn response(&self, body: &str) -> String {
         let attempt = self.header("sequoiawing-attempt").unwrap_or_default();
         let length = body.len();
         format!(
@@ -36,19 +36,20 @@
     }
 }
 
-/// Serves a connection by the fault, telling `ran` of each request.
-pub(crate) async fn misbehave<F>(mut stream: TcpStream, fault: Fault, ran: F)
+/// Serves a connection with a fault, and calls `on_request` for each request.
+pub(crate) async fn serve_faulty<F>(mut stream: TcpStream, fault: Fault, on_request: F)
 where
     F: Fn(&RawRequest),
 {
     while let Ok(Some(request)) = read_request(&mut stream, fault).await {
-        ran(&request);
-        if answer(&mut stream, fault, &request).await.is_err() {
+        on_request(&request);
+        if respond(&mut stream, fault, &request).await.is_err() {
             return;
         }
         match fault {
-            Fault::StrayAnswer => {}
-            // Closes as the next request arrives, the worst moment of all.
+            Fault::ExtraResponse => {}
+            // Closing while a request is in transit leaves its sender without
+            // knowledge of whether it ran.
             Fault::CloseIdle => {
                 stream.read(&mut [0; 1]).await.ok();
                 return;
@@ -58,40 +59,42 @@
     }
 }
 
-async fn answer(stream: &mut TcpStream, fault: Fault, request: &RawRequest) -> io::Result<()> {
-    let whole = request.answer(&format!("done: {}", request.body));
+async fn respond(stream: &mut TcpStream, fault: Fault, request: &RawRequest) -> io::Result<()> {
+    let response = request.response(&format!("done: {}", request.body));
     match fault {
-        Fault::Rubbish => {
+        Fault::InvalidHttp => {
             stream
                 .write_all(b"\x16\x03\x01 no HTTP at all\r\n\r\n")
                 .await
         }
-        Fault::StrayAnswer => {
-            let stray = request.answer("stray");
-            let both = format!("{whole}{stray}");
+        Fault::ExtraResponse => {
+            let extra = request.response("stray");
+            let both = format!("{response}{extra}");
             stream.write_all(both.as_bytes()).await
         }
         Fault::Unframed => {
             let attempt = request.header("sequoiawing-attempt").unwrap_or_default();
-            let cut = format!("HTTP/1.1 200 OK\r\nsequoiawing-attempt: {attempt}\r\n\r\ndone: ha");
-            stream.write_all(cut.as_bytes()).await
+            let truncated =
+                format!("HTTP/1.1 200 OK\r\nsequoiawing-attempt: {attempt}\r\n\r\ndone: ha");
+            stream.write_all(truncated.as_bytes()).await
         }
-        Fault::AnswerEarly => {
-            stream.write_all(whole.as_bytes()).await?;
-            sequoiawing_runtime::sleep(EARLY_PAUSE).await;
+        Fault::EarlyResponse => {
+            stream.write_all(response.as_bytes()).await?;
+            sequoiawing_runtime::sleep(EARLY_CLOSE_DELAY).await;
             Ok(())
         }
-        Fault::CloseIdle => stream.write_all(whole.as_bytes()).await,
+        Fault::CloseIdle => stream.write_all(response.as_bytes()).await,
         _ => Ok(()),
     }
 }
 
-/// Reads a request; the body is left out when the fault is to answer early.
+/// Reads a request, without its body if the fault is an early response. Returns
+/// `None` if the connection ends or the headers are too large.
 async fn read_request(stream: &mut TcpStream, fault: Fault) -> io::Result<Option<RawRequest>> {
     let mut head = Vec::new();
     let mut byte = [0; 1];
     while !head.ends_with(b"\r\n\r\n") {
-        if head.len() > HEAD_BYTES || stream.read(&mut byte).await? == 0 {
+        if head.len() > MAX_HEAD_BYTES || stream.read(&mut byte).await? == 0 {
             return Ok(None);
         }
         head.push(byte[0]);
@@ -103,7 +106,7 @@
     let length = request
         .header("content-length")
         .and_then(|v| v.parse().ok());
-    if fault != Fault::AnswerEarly {
+    if fault != Fault::EarlyResponse {
         let mut body = vec![0; length.unwrap_or(0)];
         stream.read_exact(&mut body).await?;
         request.body = String::from_utf8_lossy(&body).into_owned();
--- a/crates/sequoiawing_standin/src/service.rs
+++ b/crates/sequoiawing_standin/src/service.rs
@@ -1,11 +1,11 @@
 use crate::{
     Fault, ServiceSettings,
-    announcer::{Announcer, LISTENER_LIMIT, lifetime, new_epoch},
+    announcer::{Announcer, SHUTDOWN_TIMEOUT, lifetime, new_epoch},
     drain::drain,
-    engine::{echo, not_run, respond, whole_or_cut},
+    engine::{echo_headers, full_or_partial, not_run_response, respond},
     journal::Journal,
-    raw::misbehave,
-    seen::Seen,
+    raw::serve_faulty,
+    request_log::RequestLog,
 };
 use async_net::TcpStream;
 use http_body_util::BodyExt;
@@ -23,126 +23,128 @@
     leaving: bool,
     fault: Fault,
     calls: Vec<String>,
-    asked: u64,
+    received_calls: u64,
 }
 
 struct Shared {
-    news: Watch<u64>,
+    changes: Watch<u64>,
     settings: ServiceSettings,
     address: SocketAddr,
     epoch: u64,
-    seen: Seen,
+    request_log: RequestLog,
     journal: Journal,
     inner: Mutex<Inner>,
 }
 
-/// A stand-in for a plain service, which remembers every call that it ran.
+/// A simulated plain service, which records every call that it ran.
 pub struct Service {
     shared: Arc<Shared>,
     shutdown: Shutdown,
-    listening: Task<usize>,
+    listener_task: Task<usize>,
 }
 
 impl Service {
-    /// Starts the stand-in.
+    /// Starts the listener and the announcements.
     ///
     /// # Errors
     ///
-    /// Returns the error of the operating system when the address is taken.
+    /// Returns the error of the operating system if the address cannot be bound.
     pub async fn start(settings: ServiceSettings) -> io::Result<Self> {
         let shutdown = Shutdown::new();
         let listener = HttpListener::bind(settings.listen, HttpSettings::default()).await?;
         let address = listener.address()?;
-        let news = Watch::default();
+        let changes = Watch::default();
         let announcer = Announcer {
             routers: settings.routers.clone(),
             credential: settings.credential.clone(),
             interval: Duration::from_millis(settings.interval),
-            news: news.clone(),
+            changes: changes.clone(),
         };
         let journal = Journal::new(settings.journal.clone());
         let shared = Arc::new(Shared {
-            news,
+            changes,
             settings,
             address,
             epoch: new_epoch(),
-            seen: Seen::default(),
+            request_log: RequestLog::default(),
             journal,
             inner: Mutex::default(),
         });
         let handler = Arc::new(ServiceHandler(shared.clone()));
-        let listening = spawn(listener.serve(handler, shutdown.clone()));
-        let described = shared.clone();
-        let describe = move || described.describe();
+        let listener_task = spawn(listener.serve(handler, shutdown.clone()));
+        let state_source = shared.clone();
+        let describe = move || state_source.describe();
         spawn(announcer.run(describe, shutdown.clone())).detach();
         Ok(Self {
             shared,
             shutdown,
-            listening,
+            listener_task,
         })
     }
 
-    /// Returns where the stand-in takes requests.
+    /// Returns the address for requests.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Returns the bodies of the calls that it ran, in order.
+    /// Returns the bodies of the calls that ran, in order.
     pub fn calls(&self) -> Vec<String> {
         self.shared.inner.lock().calls.clone()
     }
 
-    /// Returns the number of calls that it was asked for, run or not.
-    pub fn asked(&self) -> u64 {
-        self.shared.inner.lock().asked
+    /// Returns the number of received calls, whether they ran or not.
+    pub fn received_calls(&self) -> u64 {
+        self.shared.inner.lock().received_calls
     }
 
-    /// Returns the calls that run now.
+    /// Returns the number of running calls.
     pub fn running(&self) -> u32 {
         self.shared.inner.lock().running
     }
 
-    /// Returns the last requests with all their bytes, if it records them.
-    pub fn seen(&self) -> Vec<String> {
-        self.shared.seen.list()
+    /// Returns the most recent requests with headers and bodies, if the `record`
+    /// setting is on.
+    pub fn recorded_requests(&self) -> Vec<String> {
+        self.shared.request_log.list()
     }
 
-    /// Makes the stand-in fail from now on.
+    /// Injects a fault from now on.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.inner.lock().fault = fault;
     }
 
-    /// Announces that the stand-in wants no new work.
+    /// Announces that the upstream is leaving and wants no new requests.
     pub fn leave(&self) {
         self.shared.inner.lock().leaving = true;
-        self.shared.journal.note("leave");
-        self.shared.tell();
+        self.shared.journal.append("leave");
+        self.shared.notify_announcer();
     }
 
-    /// Leaves without cutting a request: announces that it leaves, serves what
-    /// still comes until all routers know, and ends what runs.
+    /// Shuts down gracefully: announces that the upstream is leaving, keeps
+    /// serving until all routers know, and waits for running calls.
     ///
-    /// Returns the number of calls that still ran at the drain limit.
+    /// Returns the number of calls that were still running when the drain timed
+    /// out.
     pub async fn drain(self) -> u32 {
         self.leave();
         let settings = &self.shared.settings;
         let running = || self.running();
         let abandoned = drain("service", settings.farewell, settings.drain, running).await;
         self.shutdown.start();
-        timeout(LISTENER_LIMIT, self.listening).await;
+        timeout(SHUTDOWN_TIMEOUT, self.listener_task).await;
         abandoned
     }
 
-    /// Stops answering and announcing.
+    /// Stops serving and announcing.
     pub fn stop(&self) {
         self.shutdown.start();
     }
 }
 
 impl Shared {
-    /// Has the upstream announced at once.
-    fn tell(&self) {
-        self.news.set(self.news.get().wrapping_add(1));
+    /// Triggers an announcement without waiting for the next interval.
+    fn notify_announcer(&self) {
+        self.changes.set(self.changes.get().wrapping_add(1));
     }
 
     fn describe(&self) -> UpstreamState {
@@ -169,9 +171,9 @@
 
 impl ServiceHandler {
     async fn run(&self, body: &str, fault: Fault) -> Response<Body> {
-        let running = Running::start(self.0.clone());
+        let running = RunningCall::start(self.0.clone());
         self.0.inner.lock().calls.push(body.to_owned());
-        self.0.journal.note(&format!("run {body}"));
+        self.0.journal.append(&format!("run {body}"));
         if fault == Fault::Freeze {
             std::future::pending::<()>().await;
         }
@@ -179,22 +181,22 @@
         drop(running);
         match fault {
             Fault::Fail => respond(StatusCode::INTERNAL_SERVER_ERROR, "the service failed"),
-            _ => whole_or_cut(&format!("done: {body}"), fault),
+            _ => full_or_partial(&format!("done: {body}"), fault),
         }
     }
 }
 
-/// Counts a call as running for as long as it lives.
-struct Running(Arc<Shared>);
+/// Counts a call as running until it is dropped.
+struct RunningCall(Arc<Shared>);
 
-impl Running {
+impl RunningCall {
     fn start(shared: Arc<Shared>) -> Self {
         shared.inner.lock().running += 1;
         Self(shared)
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
         self.0.inner.lock().running -= 1;
     }
@@ -209,21 +211,21 @@
         let body = body.to_bytes();
         if self.0.settings.record {
             self.0
-                .seen
-                .note(&parts.method, &parts.uri, &parts.headers, &body);
+                .request_log
+                .record(&parts.method, &parts.uri, &parts.headers, &body);
         }
         let body = String::from_utf8_lossy(&body).into_owned();
         let fault = {
             let mut inner = self.0.inner.lock();
-            inner.asked += 1;
+            inner.received_calls += 1;
             inner.fault
         };
         let mut response = if fault == Fault::Refuse {
-            not_run("the service takes no calls")
+            not_run_response("the service takes no calls")
         } else {
             self.run(&body, fault).await
         };
-        echo(&parts.headers, &mut response, fault);
+        echo_headers(&parts.headers, &mut response, fault);
         response
     }
 
@@ -232,11 +234,11 @@
         if !fault.is_raw() {
             return Some(stream);
         }
-        misbehave(stream, fault, |request| {
+        serve_faulty(stream, fault, |request| {
             self.0.inner.lock().calls.push(request.body.clone());
             self.0
-                .seen
-                .note_text(format!("{}{}", request.head, request.body));
+                .request_log
+                .record_text(format!("{}{}", request.head, request.body));
         })
         .await;
         None
--- a/crates/sequoiawing_standin/src/settings.rs
+++ b/crates/sequoiawing_standin/src/settings.rs
@@ -3,30 +3,31 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, path::PathBuf};
 
-/// The settings of a stand-in for an engine.
+/// The settings of a simulated engine.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct EngineSettings {
     /// The name, unique in the deployment.
     pub name: Name,
-    /// The pool that it joins.
+    /// The pool that it belongs to.
     pub pool: Name,
     /// Its data centre.
     pub centre: Name,
-    /// Where it takes requests and orders.
+    /// The address for requests and orders.
     pub listen: SocketAddr,
-    /// The routers to which it announces itself, in turn.
+    /// The routers to which it announces itself; it uses the next one when one
+    /// fails.
     pub routers: Vec<SocketAddr>,
-    /// The credential of announcements and orders.
+    /// The credential for announcements and orders.
     pub credential: String,
     /// The accelerator memory, in MiB.
     pub memory: u64,
-    /// The requests that it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
     /// The time to load a model from the remote store, in milliseconds.
     pub load: u64,
-    /// A weight store that counts loads: a connection is held open to it during
-    /// each.
+    /// The address of a listener that counts concurrent loads, to which a
+    /// connection is held open during each load.
     pub store: Option<SocketAddr>,
     /// The time to load an adapter, in milliseconds.
     pub adapter: u64,
@@ -34,18 +35,18 @@
     pub first: u64,
     /// The time between tokens, in microseconds.
     pub gap: u64,
-    /// The further bytes that each event of a stream has.
+    /// The padding of each event of a stream, in bytes.
     pub padding: usize,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing number.
     pub fenced: bool,
-    /// How often it announces itself, in milliseconds.
+    /// The time between announcements, in milliseconds.
     pub interval: u64,
-    /// How long it still takes requests once it has said that it leaves, in
-    /// milliseconds.
+    /// How long it still accepts requests after announcing that it is leaving,
+    /// in milliseconds.
     pub farewell: u64,
-    /// How long running requests may last when it leaves, in milliseconds.
+    /// How long it waits for running requests when it leaves, in milliseconds.
     pub drain: u64,
-    /// Whether it remembers all bytes of the last requests.
+    /// Whether it records the headers and bodies of the most recent requests.
     pub record: bool,
 }
 
@@ -84,38 +85,39 @@
     }
 }
 
-/// The settings of a stand-in for a plain service.
+/// The settings of a simulated plain service.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ServiceSettings {
     /// The name, unique in the deployment.
     pub name: Name,
-    /// The pool that it joins.
+    /// The pool that it belongs to.
     pub pool: Name,
     /// Its data centre.
     pub centre: Name,
-    /// Where it takes requests.
+    /// The address for requests.
     pub listen: SocketAddr,
-    /// The routers to which it announces itself, in turn.
+    /// The routers to which it announces itself; it uses the next one when one
+    /// fails.
     pub routers: Vec<SocketAddr>,
-    /// The credential of announcements.
+    /// The credential for announcements.
     pub credential: String,
-    /// The requests that it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// The time that a call takes, in microseconds.
+    /// The duration of a call, in microseconds.
     pub work: u64,
-    /// How often it announces itself, in milliseconds.
+    /// The time between announcements, in milliseconds.
     pub interval: u64,
-    /// How long it still takes requests once it has said that it leaves, in
-    /// milliseconds.
+    /// How long it still accepts requests after announcing that it is leaving,
+    /// in milliseconds.
     pub farewell: u64,
-    /// How long running requests may last when it leaves, in milliseconds.
+    /// How long it waits for running requests when it leaves, in milliseconds.
     pub drain: u64,
-    /// Whether it remembers all bytes of the last requests.
+    /// Whether it records the headers and bodies of the most recent requests.
     pub record: bool,
-    /// A file that gets a line for each call before it runs, and one when it
-    /// says that it leaves, each with the time in milliseconds; they outlive
-    /// the process.
+    /// A file to which a line with the time in milliseconds is appended before
+    /// each call runs and when the service announces that it is leaving; it
+    /// outlives the process.
     pub journal: Option<PathBuf>,
 }
 
--- a/crates/sequoiawing_standin/src/store.rs
+++ b/crates/sequoiawing_standin/src/store.rs
@@ -9,13 +9,14 @@
     time::Duration,
 };
 
-/// The loads that a weight store serves at full speed at once.
-const FULL_SPEED: u32 = 4;
+/// The number of concurrent loads that a weight store serves at full speed.
+const FULL_SPEED_LOADS: u32 = 4;
 
-/// How often a load looks at how crowded the store is.
+/// How often a load adapts its speed to the number of concurrent loads.
 const STEP: Duration = Duration::from_millis(10);
 
-/// A weight store whose loads slow down when more than a few run at once.
+/// A simulated weight store, whose loads slow down when more than
+/// [`FULL_SPEED_LOADS`] run at once.
 ///
 /// Clones share the store.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +26,8 @@
 }
 
 impl Store {
-    /// Returns a store whose loads are counted by who listens at `counter`.
+    /// Creates a store that connects to `counter` during each load, so that the
+    /// listener there can count concurrent loads.
     pub(crate) fn new(counter: Option<SocketAddr>) -> Self {
         Self {
             counter,
@@ -33,37 +35,37 @@
         }
     }
 
-    /// Loads something that takes `span` at full speed.
-    pub(crate) async fn load(&self, span: Duration) {
-        let counted = match self.counter {
+    /// Waits for a load that takes `duration` at full speed.
+    pub(crate) async fn load(&self, duration: Duration) {
+        let connection = match self.counter {
             Some(counter) => TcpStream::connect(counter).await.ok(),
             None => None,
         };
         *self.running.lock() += 1;
-        let _guard = Running(self.running.clone());
-        let mut left = span.as_secs_f64();
-        while left > 0.0 {
-            let step = STEP.min(Duration::from_secs_f64(left));
+        let _guard = RunningLoad(self.running.clone());
+        let mut remaining = duration.as_secs_f64();
+        while remaining > 0.0 {
+            let step = STEP.min(Duration::from_secs_f64(remaining));
             sleep(step).await;
-            let crowd = f64::from((*self.running.lock()).max(FULL_SPEED));
-            left -= step.as_secs_f64() * f64::from(FULL_SPEED) / crowd;
+            let loads = f64::from((*self.running.lock()).max(FULL_SPEED_LOADS));
+            remaining -= step.as_secs_f64() * f64::from(FULL_SPEED_LOADS) / loads;
         }
-        if let Some(stream) = counted {
-            end(stream).await.ok();
+        if let Some(stream) = connection {
+            end_load(stream).await.ok();
         }
     }
 }
 
-/// Ends a counted load, and returns once the counter has noticed.
-async fn end(mut stream: TcpStream) -> io::Result<()> {
+/// Ends a counted load and waits until the listener has noticed.
+async fn end_load(mut stream: TcpStream) -> io::Result<()> {
     stream.shutdown(Shutdown::Write)?;
     stream.read(&mut [0]).await?;
     Ok(())
 }
 
-struct Running(Arc<Mutex<u32>>);
+struct RunningLoad(Arc<Mutex<u32>>);
 
-impl Drop for Running {
+impl Drop for RunningLoad {
     fn drop(&mut self) {
         *self.0.lock() -= 1;
     }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -65,8 +65,8 @@
     ask("a plain service", &service_call, "").await;
     println!(
         "\nThe runner loaded {} models and served {} requests; the service ran {} calls.",
-        engine.loads(),
-        engine.served(),
+        engine.started_loads(),
+        engine.started_requests(),
         service.calls().len()
     );
     if stay {
--- a/tests/requests/callers.rs
+++ b/tests/requests/callers.rs
@@ -53,7 +53,7 @@
         let fleet = start().await;
         let answer = fleet.call("/grant").with_header("x-request-id", "strip-42").send().await;
         assert_eq!(answer.headers["x-request-id"], "strip-42");
-        let seen = fleet.services[0].seen();
+        let seen = fleet.services[0].recorded_requests();
         assert!(seen[0].contains("strip-42"), "{seen:?}");
     }
 
@@ -62,7 +62,7 @@
         let answer = fleet.call("/grant").send().await;
         let id = answer.headers["x-request-id"].to_str().expect("it is text").to_owned();
         assert_eq!(id.len(), 32);
-        assert!(fleet.services[0].seen()[0].contains(&id));
+        assert!(fleet.services[0].recorded_requests()[0].contains(&id));
         let refused = fleet.call("/nowhere").with_header("x-request-id", "a b").send().await;
         assert_ne!(refused.headers["x-request-id"], "a b");
     }
@@ -95,7 +95,7 @@
             assert_eq!(answer.ran(), "no", "{call:?}");
             assert!(answer.text().contains(place), "{call:?}: {}", answer.text());
         }
-        assert!(fleet.engines[0].seen().is_empty());
+        assert!(fleet.engines[0].recorded_requests().is_empty());
     }
 
     a_chat_is_streamed_and_answered_whole {
--- a/tests/requests/idempotency.rs
+++ b/tests/requests/idempotency.rs
@@ -168,7 +168,7 @@
 
     a_call_whose_upstream_died_is_not_run_again {
         let fleet = start(None).await;
-        fleet.services[0].set_fault(Fault::HangUp);
+        fleet.services[0].set_fault(Fault::Disconnect);
         let first = grant(&fleet).send().await;
         assert_eq!((first.code().as_str(), first.ran().as_str()), ("upstream_failed", "unknown"));
         let again = grant(&fleet).to(&fleet, 1).send().await;
@@ -214,7 +214,7 @@
     an_unkeyed_call_is_never_sent_twice {
         let fleet = Fleet::start(Setup { services: 2, ..Setup::default() }).await;
         for service in &fleet.services {
-            service.set_fault(Fault::HangUp);
+            service.set_fault(Fault::Disconnect);
         }
         let answer = fleet.call("/grant").send().await;
         assert_eq!((answer.code().as_str(), answer.ran().as_str()), ("upstream_failed", "unknown"));
--- a/tests/requests/keys.rs
+++ b/tests/requests/keys.rs
@@ -118,8 +118,10 @@
         let in_path = fleet.call(&format!("/look/{key}")).send().await;
         assert_eq!(in_path.code(), "bad_request");
         fleet.warm().await;
-        let seen: Vec<String> = fleet.services.iter().flat_map(Service::seen).collect();
-        let asked: Vec<String> = fleet.engines.iter().flat_map(Engine::seen).collect();
+        let seen: Vec<String> =
+            fleet.services.iter().flat_map(Service::recorded_requests).collect();
+        let asked: Vec<String> =
+            fleet.engines.iter().flat_map(Engine::recorded_requests).collect();
         assert_eq!(seen.len(), 9);
         assert!(!asked.is_empty());
         for request in seen.iter().chain(&asked) {
--- a/tests/requests/streams.rs
+++ b/tests/requests/streams.rs
@@ -25,9 +25,9 @@
 
 /// Lets the engine work again as soon as it has failed once.
 async fn mend(fleet: &Fleet) {
-    let served = fleet.engines[0].served();
+    let served = fleet.engines[0].started_requests();
     crate::fleet::wait_until("the stream began", || {
-        std::future::ready(fleet.engines[0].served() > served)
+        std::future::ready(fleet.engines[0].started_requests() > served)
     })
     .await;
     sleep(Duration::from_millis(20)).await;
@@ -49,7 +49,7 @@
     let expected: Vec<String> = (0..TOKENS).map(|i| format!("w{i}")).collect();
     assert_eq!(words(answer.text()), expected);
     assert!(answer.text().ends_with("data: [DONE]\n\n"));
-    let seen = fleet.engines[0].seen();
+    let seen = fleet.engines[0].recorded_requests();
     let resumed = seen.last().expect("it was asked");
     assert!(
         resumed.contains("\"sequoiawing-resume-offset\": \"20\""),
@@ -66,21 +66,21 @@
 }
 
 cases! {
-    a_stream_that_breaks_off_is_resumed { assert_resumed(Fault::BreakOff).await; }
-    a_stream_that_is_cut_short_is_resumed { assert_resumed(Fault::CutShort).await; }
-    a_stream_that_falls_silent_is_resumed { assert_resumed(Fault::FallSilent).await; }
-    a_stream_that_breaks_off_is_never_whole { assert_broken(Fault::BreakOff).await; }
-    a_stream_that_is_cut_short_is_never_whole { assert_broken(Fault::CutShort).await; }
-    a_stream_that_falls_silent_is_never_whole { assert_broken(Fault::FallSilent).await; }
+    a_stream_that_breaks_off_is_resumed { assert_resumed(Fault::Abort).await; }
+    a_stream_that_is_cut_short_is_resumed { assert_resumed(Fault::Truncate).await; }
+    a_stream_that_falls_silent_is_resumed { assert_resumed(Fault::Stall).await; }
+    a_stream_that_breaks_off_is_never_whole { assert_broken(Fault::Abort).await; }
+    a_stream_that_is_cut_short_is_never_whole { assert_broken(Fault::Truncate).await; }
+    a_stream_that_falls_silent_is_never_whole { assert_broken(Fault::Stall).await; }
 
     a_stream_that_cannot_be_resumed_is_never_whole {
-        let fleet = start(Fault::BreakOff).await;
+        let fleet = start(Fault::Abort).await;
         let answer = fleet.completion("/resumed", TOKENS).send().await;
         assert!(answer.body.is_err(), "{answer:?}");
     }
 
     a_stream_without_a_token_yet_is_made_good {
-        let fleet = start(Fault::BreakOff).await;
+        let fleet = start(Fault::Abort).await;
         let call = sequoiawing::runtime::spawn(fleet.completion("/v1/completions", 1).send());
         mend(&fleet).await;
         let answer = call.await;
--- a/tests/requests/upstreams.rs
+++ b/tests/requests/upstreams.rs
@@ -32,7 +32,9 @@
 /// Sends calls until the failing service has had one, and returns the answers.
 async fn send_until_failed(fleet: &Fleet, path: &str) -> Vec<Seen> {
     let mut answers = Vec::new();
-    let reached = || !fleet.services[0].calls().is_empty() || !fleet.services[0].seen().is_empty();
+    let reached = || {
+        !fleet.services[0].calls().is_empty() || !fleet.services[0].recorded_requests().is_empty()
+    };
     while !reached() {
         assert!(answers.len() < 100, "the failing service is never chosen");
         let first = answers.len();
@@ -106,27 +108,27 @@
 
 faults! { assert_made_good:
     a_frozen_upstream_is_made_good: Freeze;
-    an_upstream_that_falls_silent_is_made_good: FallSilent;
-    an_answer_that_breaks_off_is_made_good: BreakOff;
-    a_crossed_answer_is_made_good: Cross;
+    an_upstream_that_falls_silent_is_made_good: Stall;
+    an_answer_that_breaks_off_is_made_good: Abort;
+    a_crossed_answer_is_made_good: WrongAttempt;
     an_upstreams_error_is_made_good: Fail;
     an_upstream_that_takes_nothing_is_made_good: Refuse;
-    rubbish_is_made_good: Rubbish;
+    rubbish_is_made_good: InvalidHttp;
     an_answer_without_a_length_is_made_good: Unframed;
-    a_hang_up_is_made_good: HangUp;
+    a_hang_up_is_made_good: Disconnect;
 }
 
 faults! { assert_told:
     a_frozen_upstream_is_told: Freeze;
-    a_crossed_answer_is_told: Cross;
-    rubbish_is_told: Rubbish;
+    a_crossed_answer_is_told: WrongAttempt;
+    rubbish_is_told: InvalidHttp;
     an_answer_without_a_length_is_told: Unframed;
-    a_hang_up_is_told: HangUp;
+    a_hang_up_is_told: Disconnect;
 }
 
 faults! { assert_broken:
-    a_broken_answer_that_may_not_be_repeated_is_never_whole: BreakOff;
-    a_silent_answer_that_may_not_be_repeated_is_cut_off: FallSilent;
+    a_broken_answer_that_may_not_be_repeated_is_never_whole: Abort;
+    a_silent_answer_that_may_not_be_repeated_is_cut_off: Stall;
 }
 
 cases! {
@@ -144,8 +146,8 @@
     }
 
     a_stray_answer_is_given_to_nobody {
-        let fleet = start(Fault::StrayAnswer).await;
-        fleet.services[1].set_fault(Fault::StrayAnswer);
+        let fleet = start(Fault::ExtraResponse).await;
+        fleet.services[1].set_fault(Fault::ExtraResponse);
         for i in 0..20 {
             let body = format!("call {i}");
             let answer = fleet.call("/look").with_body(body.clone()).send().await;
@@ -167,8 +169,8 @@
     }
 
     an_answer_before_the_whole_request_is_relayed {
-        let fleet = start(Fault::AnswerEarly).await;
-        fleet.services[1].set_fault(Fault::AnswerEarly);
+        let fleet = start(Fault::EarlyResponse).await;
+        fleet.services[1].set_fault(Fault::EarlyResponse);
         for path in ["/look", "/grant"] {
             let answer = fleet.call(path).with_body("x".repeat(4_000_000)).send().await;
             assert_eq!(answer.text(), "done: ");
@@ -198,7 +200,7 @@
                 assert!(answer.headers.contains_key("retry-after"));
             }
         }
-        let asked: u64 = fleet.services.iter().map(Service::asked).sum();
+        let asked: u64 = fleet.services.iter().map(Service::received_calls).sum();
         // The first attempts, the saved retries, a fifth of the first attempts,
         // and one retry a second.
         let allowed = 400 + 100 + 80 + clock.elapsed().as_secs() + 1;
@@ -221,7 +223,7 @@
         let call = fleet.call("/look/strip?day=7&x=a%20b").with_method(Method::GET);
         assert_eq!(call.with_body("").send().await.status, 200);
         let seen = || {
-            let all = fleet.services.iter().flat_map(Service::seen);
+            let all = fleet.services.iter().flat_map(Service::recorded_requests);
             std::future::ready(all.into_iter().any(|r| r.contains("/look/strip?day=7&x=a%20b")))
         };
         wait_until("it is seen", seen).await;
