--- a/crates/sequoiawing_gateway/src/attempt.rs
+++ b/crates/sequoiawing_gateway/src/attempt.rs
@@ -108,7 +108,7 @@
     // The upstream may close a pooled connection while the request is being
     // sent, which leaves unknown whether the request ran.
     let sent = if repeat == RetryPolicy::Once {
-        state.client.send_anew(address, request).await
+        state.client.send_on_new_connection(address, request).await
     } else {
         state.client.send(address, request).await
     };
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use hyper::{Response, http::response::Parts};
 use sequoiawing_catalog::RetryPolicy;
-use sequoiawing_http::{Body, BodyError, ClientBody, Events, from_stream, remove_hop_headers};
+use sequoiawing_http::{Body, BodyError, ClientBody, SseSplitter, from_stream, remove_hop_headers};
 use sequoiawing_policy::serving::{AttemptOutcome, BalancerRequest};
 use sequoiawing_runtime::timeout;
 use std::{sync::Arc, time::Duration};
--- a/crates/sequoiawing_standin/src/announcer.rs
+++ b/crates/sequoiawing_standin/src/announcer.rs
@@ -140,9 +140,9 @@
     /// Returns a renewal of the announcement, unless a full one is due or more
     /// than the load has changed.
     fn renewal(&self, state: &UpstreamState) -> Option<Renewal> {
-        let due = self.at.elapsed() >= Renewal::FULL_INTERVAL;
-        let fits = !due && self.state.differs_in_load_only(state);
-        fits.then(|| Renewal::of(state, self.state.sequence))
+        let is_due = self.sent_at.elapsed() >= Renewal::FULL_INTERVAL;
+        let is_renewable = !is_due && self.state.differs_in_load_only(state);
+        is_renewable.then(|| Renewal::of(state, self.state.sequence))
     }
 }
 
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -70,8 +70,8 @@
     send_request("a plain service", &service_request, "").await;
     println!(
         "\nThe runner loaded {} models and served {} requests; the service handled {} requests.",
-        engine.loads(),
-        engine.served(),
+        engine.started_loads(),
+        engine.started_requests(),
         service.calls().len()
     );
     if keep_running {
