--- a/tests/requests/keys.rs
+++ b/tests/requests/keys.rs
@@ -88,8 +88,11 @@
         assert_eq!(call.await.expect("the router answers"), 1);
         let refused = || async { fleet.call("/look").to(&fleet, 1).send().await.status == 401 };
         wait_until("the other router knows", refused).await;
-        let tables = fleet.operator.read().await.expect("the controller answers");
-        assert!(tables.is_withdrawn(&fleet.key.id));
+        let entered = || async {
+            let tables = fleet.operator.read().await.expect("the controller answers");
+            tables.is_withdrawn(&fleet.key.id)
+        };
+        wait_until("the key is withdrawn in the log", entered).await;
     }
 
     no_upstream_sees_a_key {
