--- a/crates/sequoiawing_bench/src/deployment.rs
+++ b/crates/sequoiawing_bench/src/deployment.rs
@@ -3,10 +3,10 @@
 use sequoiawing_types::Name;
 use std::time::Duration;
 
-/// A deployment to be measured.
+/// A deployment to measure.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// The name.
     pub name: Name,
     /// The data centres.
     pub centres: Vec<Name>,
@@ -20,24 +20,24 @@
     pub customers: Vec<Customer>,
     /// The weight store.
     pub store: StoreSpec,
-    /// How long a load of 4,096 MiB takes at full speed from the store.
+    /// The load time of 4,096 MiB from the store at full speed.
     pub load_time: Duration,
-    /// The time of one generated token.
+    /// The time to generate one token.
     pub token_time: Duration,
-    /// The time of one token of a prompt that is not cached.
+    /// The time to process one prompt token that is not cached.
     pub prompt_time: Duration,
 }
 
-/// The size of a model whose load takes [`Deployment::load_time`], in MiB.
+/// The size of a model that loads in [`Deployment::load_time`], in MiB.
 pub(crate) const REFERENCE_MIB: u64 = 4_096;
 
-/// How much faster disks and main memory are than the weight store.
-const DISK_PART: f64 = 0.4;
-const MEMORY_PART: f64 = 0.1;
+/// Load times from disk and from main memory, relative to the weight store.
+const DISK_TIME_FACTOR: f64 = 0.4;
+const MEMORY_TIME_FACTOR: f64 = 0.1;
 
 impl Deployment {
-    /// Returns how long a load takes at full speed.
-    pub fn load_span(
+    /// Returns the duration of a load at full speed. `memory` is in MiB.
+    pub fn load_duration(
         &self,
         memory: u64,
         checkpoint: sequoiawing_policy::CheckpointLocation,
@@ -45,81 +45,81 @@
         use sequoiawing_policy::CheckpointLocation;
         #[expect(clippy::cast_precision_loss, reason = "sizes are small")]
         let size = memory as f64 / REFERENCE_MIB as f64;
-        let part = match checkpoint {
-            CheckpointLocation::Memory => MEMORY_PART,
-            CheckpointLocation::Disk => DISK_PART,
+        let factor = match checkpoint {
+            CheckpointLocation::Memory => MEMORY_TIME_FACTOR,
+            CheckpointLocation::Disk => DISK_TIME_FACTOR,
             CheckpointLocation::Remote => 1.0,
         };
-        self.load_time.mul_f64(size * part)
+        self.load_time.mul_f64(size * factor)
     }
 
-    /// Cartoon strips: three data centres, ten caption runners, fifty models
-    /// and forty adapters.
+    /// Cartoon captions: three data centres, ten runners, fifty models and
+    /// forty adapters.
     pub fn inkveld() -> Self {
-        let shape = Shape {
+        let size = DeploymentSize {
             name: "inkveld",
             centres: 3,
             runners: 10,
             models: 50,
             adapters: 40,
-            starts: 8.0,
+            load_rate: 8.0,
             customers: &["daily", "weekly", "north", "coast", "archive"],
         };
-        shape.build()
+        size.build()
     }
 
-    /// Reader comments: four data centres, twenty model runners, a hundred
-    /// models and a hundred adapters.
+    /// Reader comments: four data centres, twenty runners, a hundred models and
+    /// a hundred adapters.
     pub fn kommentarwerk() -> Self {
-        let shape = Shape {
+        let size = DeploymentSize {
             name: "kommentarwerk",
             centres: 4,
             runners: 20,
             models: 100,
             adapters: 100,
-            starts: 15.0,
+            load_rate: 15.0,
             customers: &["isar", "lech", "donau", "inn", "regnitz"],
         };
-        shape.build()
+        size.build()
     }
 }
 
-/// The sizes of a deployment.
-struct Shape {
+/// The parameters from which a deployment is built.
+struct DeploymentSize {
     name: &'static str,
     centres: usize,
     runners: usize,
     models: usize,
     adapters: usize,
-    starts: f64,
+    load_rate: f64,
     customers: &'static [&'static str],
 }
 
-/// The entry hosts of each deployment.
-const ROUTERS: usize = 6;
+/// The number of routers in each deployment.
+const ROUTER_COUNT: usize = 6;
 
 /// The accelerator memory of a runner, in MiB.
-const MEMORY: u64 = 49_152;
+const RUNNER_MEMORY_MIB: u64 = 49_152;
 
-/// The requests that a runner runs at once.
-const SLOTS: u32 = 16;
+/// The requests that a runner processes concurrently.
+const RUNNER_SLOTS: u32 = 16;
 
-/// The loads from the store that run at full speed at once.
+/// The concurrent loads that the weight store serves at full speed.
 const STORE_SLOTS: u32 = 4;
 
-/// The customers that are large, and how much larger than the others.
-const LARGE: usize = 2;
+/// The number of large customers, and their rate relative to small ones.
+const LARGE_CUSTOMERS: usize = 2;
 const LARGE_FACTOR: u64 = 4;
 
-/// The rate of a small customer, in tokens a second.
-const RATE: u64 = 600;
+/// The rate of a small customer, in tokens per second.
+const SMALL_RATE: u64 = 600;
 
-impl Shape {
+impl DeploymentSize {
     fn build(&self) -> Deployment {
         let centres: Vec<Name> = (0..self.centres)
             .map(|i| Name::from(format!("centre-{}", i + 1)))
             .collect();
-        let routers = (0..ROUTERS).map(|i| centres[i % self.centres].clone());
+        let routers = (0..ROUTER_COUNT).map(|i| centres[i % self.centres].clone());
         Deployment {
             name: Name::from(self.name),
             routers: routers.collect(),
@@ -129,7 +129,7 @@
                 .collect(),
             customers: self.customers(),
             store: StoreSpec {
-                starts: self.starts,
+                load_rate: self.load_rate,
                 slots: STORE_SLOTS,
             },
             load_time: Duration::from_secs(1),
@@ -160,9 +160,9 @@
         }
     }
 
-    /// Spreads the runners over the data centres, and checkpoints unevenly over
-    /// the runners: every third runner has a disk, a third of the models are on
-    /// one, and only a few in a main memory.
+    /// Spreads the runners over the data centres and the checkpoints unevenly
+    /// over the runners. Every third runner has a disk, a third of the models
+    /// are on some disk, and only a few are in main memory.
     fn runner(&self, i: usize, centres: &[Name]) -> RunnerSpec {
         let has_disk = i.is_multiple_of(3);
         let disk = (0..self.models)
@@ -172,8 +172,8 @@
             name: Name::from(format!("runner-{:02}", i + 1)),
             pool: Name::from("models"),
             centre: centres[i % centres.len()].clone(),
-            memory: MEMORY,
-            slots: SLOTS,
+            memory: RUNNER_MEMORY_MIB,
+            slots: RUNNER_SLOTS,
             disk: disk.map(model_name).collect(),
             cached: cached.map(model_name).collect(),
             fenced: i % 5 != 4,
@@ -183,12 +183,16 @@
     fn customers(&self) -> Vec<Customer> {
         let customers = self.customers.iter().enumerate();
         let customers = customers.map(|(i, name)| {
-            let rate = if i < LARGE { RATE * LARGE_FACTOR } else { RATE };
+            let rate = if i < LARGE_CUSTOMERS {
+                SMALL_RATE * LARGE_FACTOR
+            } else {
+                SMALL_RATE
+            };
             Customer {
                 name: Name::from(*name),
                 rate,
                 burst: rate * 20,
-                weight: if i < LARGE { 4 } else { 1 },
+                weight: if i < LARGE_CUSTOMERS { 4 } else { 1 },
                 ..Customer::default()
             }
         });
@@ -196,7 +200,7 @@
     }
 }
 
-/// Returns the name of the model with the number.
+/// Returns the name of the model with the given number.
 pub(crate) fn model_name(i: usize) -> Name {
     Name::from(format!("model-{i:02}"))
 }
--- a/crates/sequoiawing_bench/src/fakes/log.rs
+++ b/crates/sequoiawing_bench/src/fakes/allotment_log.rs
@@ -4,25 +4,25 @@
 /// A pool and one of its models.
 type Target = (Name, Name);
 
-/// A stand-in for the replicated log's decisions about replicas.
+/// An in-memory replacement for the replicated log's replica allotments.
 ///
-/// As in the log, the sum over all data centres never passes the limit, and only
-/// a data centre itself lowers what it may hold.
+/// As in the log, the sum over all data centres never exceeds the limit, and a
+/// data centre's allotment is lowered only at its own request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct DecisionLog {
+pub(crate) struct AllotmentLog {
     limits: BTreeMap<Target, u32>,
     counts: BTreeMap<Target, BTreeMap<Name, u32>>,
 }
 
-impl DecisionLog {
-    /// Sets the most replicas of a model over all data centres.
-    pub(crate) fn limit(&mut self, target: Target, limit: u32) {
+impl AllotmentLog {
+    /// Sets the maximum number of replicas of a model across all data centres.
+    pub(crate) fn set_limit(&mut self, target: Target, limit: u32) {
         self.limits.insert(target, limit);
     }
 
-    /// Sets a data centre's replicas as far as the limit leaves room, and
-    /// returns what it may hold.
-    pub(crate) fn set(&mut self, target: &Target, centre: &Name, want: u32) -> u32 {
+    /// Sets a data centre's allotment as far as the limit allows. Returns the
+    /// new allotment.
+    pub(crate) fn allot(&mut self, target: &Target, centre: &Name, want: u32) -> u32 {
         let limit = self.limits.get(target).copied().unwrap_or(0);
         let counts = self.counts.entry(target.clone()).or_default();
         let own = counts.get(centre).copied().unwrap_or(0);
@@ -32,8 +32,8 @@
         count
     }
 
-    /// Returns the decided replicas of all data centres.
-    pub(crate) fn decided(&self, target: &Target) -> u32 {
+    /// Returns the sum of the allotments of all data centres.
+    pub(crate) fn total(&self, target: &Target) -> u32 {
         self.counts.get(target).map_or(0, |c| c.values().sum())
     }
 }
--- a/crates/sequoiawing_bench/src/fakes/runner.rs
+++ b/crates/sequoiawing_bench/src/fakes/runner.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-/// A runner of a deployment.
+/// The configuration of a runner.
 #[derive(Clone, Debug)]
 pub struct RunnerSpec {
     /// The name.
@@ -17,85 +17,85 @@
     pub centre: Name,
     /// The accelerator memory, in MiB.
     pub memory: u64,
-    /// The requests that it runs at once.
+    /// The requests that it processes concurrently.
     pub slots: u32,
-    /// The models whose checkpoint is on its disk.
+    /// The models with a checkpoint on its disk.
     pub disk: Vec<Name>,
-    /// The models whose checkpoint is in its main memory.
+    /// The models with a checkpoint in its main memory.
     pub cached: Vec<Name>,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing number.
     pub fenced: bool,
 }
 
-/// The checkpoints that main memory keeps of unloaded models.
+/// The number of unloaded models whose checkpoints stay in main memory.
 const CACHED_MODELS: usize = 4;
 
-/// The orders that an announcement lists as taken.
-const TAKEN_ORDERS: usize = 32;
+/// The number of accepted orders that an announcement lists.
+const LISTED_ORDERS: usize = 32;
 
-/// The prompts' beginnings that an engine's cache holds.
+/// The number of prompt prefixes in an engine's cache.
 const CACHED_PREFIXES: usize = 64;
 
-/// What an order makes a runner begin.
+/// The work that an order starts.
 #[derive(Clone, Debug)]
-pub(crate) enum Started {
-    /// Nothing that takes time.
+pub(crate) enum StartedWork {
+    /// No asynchronous work.
     Nothing,
-    /// The load of a model.
+    /// A model load.
     Load {
         model: Name,
         checkpoint: CheckpointLocation,
     },
-    /// The load of an adapter.
+    /// An adapter load.
     Adapter { adapter: Name },
-    /// The end of a load.
+    /// The cancellation of a model load.
     Abort { model: Name },
 }
 
-/// A load in progress.
+/// A model load in progress.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Loading {
+pub(crate) struct PendingLoad {
     pub(crate) memory: u64,
-    /// Whether it uses the weight store.
+    /// Whether it reads from the weight store.
     pub(crate) is_remote: bool,
 }
 
-/// A replica and what it is used for.
+/// A loaded replica of a model.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Held {
+pub(crate) struct Replica {
     pub(crate) memory: u64,
     pub(crate) running: u32,
-    /// Since when it has run nothing.
-    pub(crate) idle: Time,
+    /// The time since which it has run no request.
+    pub(crate) idle_since: Time,
 }
 
-/// A stand-in for an engine. It obeys blindly, so that an order that should not
-/// have been given shows.
+/// A simulated runner. It executes every valid order, even harmful ones, so
+/// that wrong orders show up as violations.
 #[derive(Clone, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "faults come and go independently of each other"
+    reason = "faults are injected independently of each other"
 )]
 pub(crate) struct FakeRunner {
     pub(crate) spec: RunnerSpec,
     pub(crate) epoch: u64,
     pub(crate) is_alive: bool,
     pub(crate) is_frozen: bool,
-    /// Whether its answers to orders are lost.
-    pub(crate) is_mute: bool,
-    /// Whether its loads never end.
+    /// Whether its replies to orders are lost.
+    pub(crate) loses_replies: bool,
+    /// Whether its loads never complete.
     pub(crate) is_hanging: bool,
     /// Whether its loads fail.
     pub(crate) is_failing: bool,
     pub(crate) is_leaving: bool,
-    /// Whether its announcements list the orders that it took in.
-    pub(crate) tells_orders: bool,
+    /// Whether its announcements list accepted orders.
+    pub(crate) lists_orders: bool,
     sequence: u64,
     fence: u64,
     orders: BTreeSet<(u64, u64)>,
     taken: VecDeque<u64>,
-    pub(crate) loaded: BTreeMap<Name, Held>,
-    pub(crate) loading: BTreeMap<Name, Loading>,
+    pub(crate) loaded: BTreeMap<Name, Replica>,
+    pub(crate) loading: BTreeMap<Name, PendingLoad>,
     adapters: BTreeSet<Name>,
     loading_adapters: BTreeSet<Name>,
     failed: BTreeSet<Name>,
@@ -105,7 +105,7 @@
     stored: Vec<u64>,
     pub(crate) running: u32,
     pub(crate) queue: VecDeque<usize>,
-    /// The orders that wait for a frozen runner.
+    /// The orders that arrived while the runner was frozen.
     pub(crate) inbox: Vec<Order>,
 }
 
@@ -117,11 +117,11 @@
             epoch: 1,
             is_alive: true,
             is_frozen: false,
-            is_mute: false,
+            loses_replies: false,
             is_hanging: false,
             is_failing: false,
             is_leaving: false,
-            tells_orders: true,
+            lists_orders: true,
             sequence: 0,
             fence: 0,
             orders: BTreeSet::new(),
@@ -141,48 +141,48 @@
         }
     }
 
-    /// Starts the runner anew, with nothing loaded.
+    /// Restarts the runner with nothing loaded.
     pub(crate) fn restart(&mut self) {
-        let mut fresh = Self::new(self.spec.clone());
-        fresh.epoch = self.epoch + 1;
-        fresh.tells_orders = self.tells_orders;
-        *self = fresh;
+        let mut restarted = Self::new(self.spec.clone());
+        restarted.epoch = self.epoch + 1;
+        restarted.lists_orders = self.lists_orders;
+        *self = restarted;
     }
 
     pub(crate) fn is_serving(&self) -> bool {
         self.is_alive && !self.is_frozen
     }
 
-    /// Notes that a load in progress uses the weight store.
-    pub(crate) fn note_remote(&mut self, model: &Name) {
+    /// Marks a load in progress as reading from the weight store.
+    pub(crate) fn mark_remote(&mut self, model: &Name) {
         if let Some(loading) = self.loading.get_mut(model) {
             loading.is_remote = true;
         }
     }
 
-    /// Counts the loads in progress that use the weight store.
+    /// Returns the number of loads in progress that read from the weight store.
     pub(crate) fn remote_loads(&self) -> u32 {
         let remote = self.loading.values().filter(|l| l.is_remote);
         u32::try_from(remote.count()).unwrap_or(u32::MAX)
     }
 
-    /// Counts the adapter loads in progress.
+    /// Returns the number of adapter loads in progress.
     pub(crate) fn adapter_loads(&self) -> u32 {
         u32::try_from(self.loading_adapters.len()).unwrap_or(u32::MAX)
     }
 
-    /// Reports whether the model is loaded or being loaded.
+    /// Reports whether the model is loaded or loading.
     pub(crate) fn holds(&self, model: &Name) -> bool {
         self.loaded.contains_key(model) || self.loading.contains_key(model)
     }
 
-    /// Returns the memory that models take, in MiB.
+    /// Returns the memory of loaded and loading models, in MiB.
     pub(crate) fn used_memory(&self) -> u64 {
         let loaded = self.loaded.values().map(|h| h.memory);
         loaded.chain(self.loading.values().map(|l| l.memory)).sum()
     }
 
-    /// Announces the runner's state.
+    /// Returns the next announcement of the runner's state.
     pub(crate) fn announce(&mut self, lifetime: Duration) -> UpstreamState {
         self.sequence += 1;
         let mut active = std::mem::take(&mut self.active);
@@ -212,7 +212,7 @@
             failed: self.failed.iter().cloned().collect(),
             disk: self.spec.disk.clone(),
             cached: self.cached.iter().cloned().collect(),
-            taken: if self.tells_orders {
+            taken: if self.lists_orders {
                 taken.collect()
             } else {
                 Vec::new()
@@ -221,62 +221,62 @@
         }
     }
 
-    /// Takes in an order.
-    pub(crate) fn order(&mut self, order: &Order) -> (OrderReply, Started) {
+    /// Handles an order, and returns the reply and the work it starts.
+    pub(crate) fn handle_order(&mut self, order: &Order) -> (OrderReply, StartedWork) {
         if self.spec.fenced && order.fence < self.fence {
             let fence = self.fence;
-            return (OrderReply::Outdated { fence }, Started::Nothing);
+            return (OrderReply::Outdated { fence }, StartedWork::Nothing);
         }
         if order.epoch != self.epoch {
             let problem = "the order is for another start of this upstream".to_owned();
-            return (OrderReply::Rejected { problem }, Started::Nothing);
+            return (OrderReply::Rejected { problem }, StartedWork::Nothing);
         }
         self.fence = self.fence.max(order.fence);
         if !self.orders.insert((order.fence, order.id)) {
-            return (OrderReply::Accepted, Started::Nothing);
+            return (OrderReply::Accepted, StartedWork::Nothing);
         }
         self.taken.push_back(order.id);
-        if self.taken.len() > TAKEN_ORDERS {
+        if self.taken.len() > LISTED_ORDERS {
             self.taken.pop_front();
         }
-        (OrderReply::Accepted, self.carry_out(&order.kind))
+        (OrderReply::Accepted, self.execute(&order.kind))
     }
 
-    fn carry_out(&mut self, kind: &OrderKind) -> Started {
+    fn execute(&mut self, kind: &OrderKind) -> StartedWork {
         match kind {
             OrderKind::Load { model, memory } => {
                 if self.holds(model) {
-                    return Started::Nothing;
+                    return StartedWork::Nothing;
                 }
                 self.failed.remove(model);
-                let loading = Loading {
+                let pending = PendingLoad {
                     memory: *memory,
                     is_remote: false,
                 };
-                self.loading.insert(model.clone(), loading);
+                self.loading.insert(model.clone(), pending);
                 let checkpoint = self.checkpoint(model);
                 let model = model.clone();
-                Started::Load { model, checkpoint }
+                StartedWork::Load { model, checkpoint }
             }
             OrderKind::Unload { model } => self.unload(model),
             OrderKind::LoadAdapter { adapter } => {
                 let base = adapter.as_str().split(':').next().unwrap_or_default();
                 if !self.loaded.contains_key(base) || self.adapters.contains(adapter) {
-                    return Started::Nothing;
+                    return StartedWork::Nothing;
                 }
                 self.loading_adapters.insert(adapter.clone());
                 let adapter = adapter.clone();
-                Started::Adapter { adapter }
+                StartedWork::Adapter { adapter }
             }
             OrderKind::UnloadAdapter { adapter } => {
                 self.adapters.remove(adapter);
-                Started::Nothing
+                StartedWork::Nothing
             }
-            OrderKind::Fence => Started::Nothing,
+            OrderKind::Fence => StartedWork::Nothing,
         }
     }
 
-    fn unload(&mut self, model: &Name) -> Started {
+    fn unload(&mut self, model: &Name) -> StartedWork {
         let prefix = format!("{model}:");
         self.adapters.retain(|a| !a.as_str().starts_with(&prefix));
         if self.loaded.remove(model).is_some() {
@@ -288,12 +288,12 @@
         }
         if self.loading.remove(model).is_some() {
             let model = model.clone();
-            return Started::Abort { model };
+            return StartedWork::Abort { model };
         }
-        Started::Nothing
+        StartedWork::Nothing
     }
 
-    /// Returns where the model's checkpoint is.
+    /// Returns the location of the model's nearest checkpoint.
     pub(crate) fn checkpoint(&self, model: &Name) -> CheckpointLocation {
         if self.cached.contains(model) {
             CheckpointLocation::Memory
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Ends the load of a model, and reports whether it was under way.
+    /// Completes a model load. Returns whether the load was in progress.
     pub(crate) fn end_load(&mut self, now: Time, model: &Name) -> bool {
         let Some(loading) = self.loading.remove(model) else {
             return false;
@@ -313,29 +313,30 @@
             self.failed.insert(model.clone());
             return true;
         }
-        let held = Held {
+        let replica = Replica {
             memory: loading.memory,
             running: 0,
-            idle: now,
+            idle_since: now,
         };
-        self.loaded.insert(model.clone(), held);
+        self.loaded.insert(model.clone(), replica);
         true
     }
 
-    pub(crate) fn end_adapter(&mut self, adapter: &Name) {
+    pub(crate) fn end_adapter_load(&mut self, adapter: &Name) {
         if self.loading_adapters.remove(adapter) {
             self.adapters.insert(adapter.clone());
         }
     }
 
-    /// Reports whether the model, or `model:adapter`, is loaded.
-    pub(crate) fn has(&self, model: &Name, adapter: Option<&Name>) -> bool {
+    /// Reports whether the model is loaded, and its adapter (`model:adapter`)
+    /// if one is given.
+    pub(crate) fn has_loaded(&self, model: &Name, adapter: Option<&Name>) -> bool {
         self.loaded.contains_key(model) && adapter.is_none_or(|a| self.adapters.contains(a))
     }
 
-    /// Counts a request as running and returns how long the replica had been
-    /// idle, and whether the prompt's beginning was cached.
-    pub(crate) fn begin(
+    /// Counts a request as running. Returns how long the replica was idle
+    /// before it, and whether the prompt prefix was cached.
+    pub(crate) fn start_request(
         &mut self,
         now: Time,
         model: &Name,
@@ -353,25 +354,25 @@
                 self.prefixes.pop_front();
             }
         }
-        let Some(held) = self.loaded.get_mut(model) else {
+        let Some(replica) = self.loaded.get_mut(model) else {
             return (Duration::ZERO, was_cached);
         };
-        held.running += 1;
-        let was_idle = held.running == 1;
+        replica.running += 1;
+        let was_idle = replica.running == 1;
         let idle = if was_idle {
-            now.since(held.idle)
+            now.since(replica.idle_since)
         } else {
             Duration::ZERO
         };
         (idle, was_cached)
     }
 
-    /// Counts a request as ended.
-    pub(crate) fn end(&mut self, now: Time, model: &Name) {
+    /// Counts a request as finished.
+    pub(crate) fn end_request(&mut self, now: Time, model: &Name) {
         self.running = self.running.saturating_sub(1);
-        if let Some(held) = self.loaded.get_mut(model) {
-            held.running = held.running.saturating_sub(1);
-            held.idle = now;
+        if let Some(replica) = self.loaded.get_mut(model) {
+            replica.running = replica.running.saturating_sub(1);
+            replica.idle_since = now;
         }
     }
 }
--- a/crates/sequoiawing_bench/src/fakes/store.rs
+++ b/crates/sequoiawing_bench/src/fakes/store.rs
@@ -1,26 +1,26 @@
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
-/// What a weight store allows.
+/// The limits of a weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSpec {
-    /// The loads that may begin in a second.
-    pub starts: f64,
-    /// The loads that run at full speed at once.
+    /// The loads that may start per second.
+    pub load_rate: f64,
+    /// The concurrent loads that run at full speed.
     pub slots: u32,
 }
 
-/// A load from the store.
+/// A model transfer from the store.
 #[derive(Clone, Debug)]
 struct Transfer {
     runner: usize,
     epoch: u64,
     model: Name,
-    /// The seconds that are left at full speed.
-    left: f64,
+    /// The remaining time at full speed, in seconds.
+    remaining_s: f64,
 }
 
-/// A weight store that all running loads share beyond its slots.
+/// A simulated weight store. Transfers beyond its slots share its bandwidth.
 #[derive(Clone, Debug)]
 pub(crate) struct FakeStore {
     spec: StoreSpec,
@@ -28,12 +28,13 @@
     transfers: Vec<Transfer>,
     updated: Time,
     next_start: Time,
-    /// Counts the changes, so that a completion computed before one is void.
+    /// Incremented at each change, so that end times computed earlier are
+    /// ignored.
     pub(crate) version: u64,
 }
 
-/// What is left of a transfer that has ended, in seconds.
-const NOTHING: f64 = 1e-7;
+/// The remaining time, in seconds, below which a transfer counts as complete.
+const END_TOLERANCE_S: f64 = 1e-7;
 
 impl FakeStore {
     pub(crate) fn new(spec: StoreSpec) -> Self {
@@ -47,43 +48,43 @@
         }
     }
 
-    /// Returns when a load that is asked for now may begin.
-    pub(crate) fn admit(&mut self, now: Time) -> Time {
+    /// Reserves the next start slot and returns its time.
+    pub(crate) fn reserve_start(&mut self, now: Time) -> Time {
         let start = self.next_start.max(now);
-        self.next_start = start + Duration::from_secs_f64(1.0 / self.spec.starts);
+        self.next_start = start + Duration::from_secs_f64(1.0 / self.spec.load_rate);
         start
     }
 
     fn rate(&self) -> f64 {
         let running = u32::try_from(self.transfers.len()).unwrap_or(u32::MAX);
-        let crowd = f64::from(running.max(self.spec.slots));
-        self.speed * f64::from(self.spec.slots) / crowd
+        let active = f64::from(running.max(self.spec.slots));
+        self.speed * f64::from(self.spec.slots) / active
     }
 
-    /// Moves all transfers on to `now`.
+    /// Advances all transfers to `now`.
     fn advance(&mut self, now: Time) {
-        let moved = now.since(self.updated).as_secs_f64() * self.rate();
+        let transferred_s = now.since(self.updated).as_secs_f64() * self.rate();
         for transfer in &mut self.transfers {
-            transfer.left -= moved;
+            transfer.remaining_s -= transferred_s;
         }
         self.updated = now;
         self.version += 1;
     }
 
-    pub(crate) fn begin(
+    pub(crate) fn start_transfer(
         &mut self,
         now: Time,
         runner: usize,
         epoch: u64,
         model: Name,
-        span: Duration,
+        duration: Duration,
     ) {
         self.advance(now);
         self.transfers.push(Transfer {
             runner,
             epoch,
             model,
-            left: span.as_secs_f64(),
+            remaining_s: duration.as_secs_f64(),
         });
     }
 
@@ -92,7 +93,7 @@
         self.speed = speed;
     }
 
-    /// Ends the transfers of a runner.
+    /// Removes the transfers for which `is_aborted` returns true.
     pub(crate) fn abort<F>(&mut self, now: Time, is_aborted: F)
     where
         F: Fn(usize, &Name) -> bool,
@@ -101,20 +102,26 @@
         self.transfers.retain(|t| !is_aborted(t.runner, &t.model));
     }
 
-    /// Returns the transfers that have ended.
+    /// Removes and returns the completed transfers.
     pub(crate) fn take_ended(&mut self, now: Time) -> Vec<(usize, u64, Name)> {
         self.advance(now);
-        let (ended, running): (Vec<Transfer>, Vec<Transfer>) =
-            self.transfers.drain(..).partition(|t| t.left <= NOTHING);
+        let (ended, running): (Vec<Transfer>, Vec<Transfer>) = self
+            .transfers
+            .drain(..)
+            .partition(|t| t.remaining_s <= END_TOLERANCE_S);
         self.transfers = running;
         let ended = ended.into_iter();
         ended.map(|t| (t.runner, t.epoch, t.model)).collect()
     }
 
-    /// Returns when the next transfer ends.
+    /// Returns the end time of the next transfer to complete.
     pub(crate) fn next_end(&self) -> Option<Time> {
-        let least = self.transfers.iter().map(|t| t.left).reduce(f64::min)?;
-        let span = (least / self.rate()).max(0.0);
-        Some(self.updated + Duration::from_secs_f64(span) + Duration::from_micros(1))
+        let least = self
+            .transfers
+            .iter()
+            .map(|t| t.remaining_s)
+            .reduce(f64::min)?;
+        let wait_s = (least / self.rate()).max(0.0);
+        Some(self.updated + Duration::from_secs_f64(wait_s) + Duration::from_micros(1))
     }
 }
--- a/crates/sequoiawing_bench/src/lib.rs
+++ b/crates/sequoiawing_bench/src/lib.rs
@@ -1,11 +1,12 @@
-//! Measures the decisions of `sequoiawing_policy` beside their baselines.
+//! Measures the policies of `sequoiawing_policy` against their baselines.
 //!
-//! The same placers and dispatchers that run in the daemons run here under
-//! virtual time, with small fakes for what stands at their borders: runners,
-//! the weight store, the log's decisions and the budgets. There is no model of
-//! networks or processes. See [docs/design](../../../docs/design).
+//! The placers and dispatchers of the daemons run here in virtual time.
+//! Runners, the weight store, the log's allotments and the budgets are replaced
+//! by small fakes. Networks and processes are not modelled. See
+//! [docs/design](../../../docs/design).
 
 mod bound;
+mod breakdown;
 mod budget;
 mod deployment;
 mod fakes;
@@ -13,20 +14,20 @@
 mod plot;
 mod policies;
 mod run;
-mod slow;
+mod simulation;
 mod table;
 mod workload;
-mod world;
 
+pub use breakdown::ColdStartBreakdown;
 pub use deployment::Deployment;
 pub use fakes::{RunnerSpec, StoreSpec};
-pub use figures::{Fared, Figures, Waits};
+pub use figures::{Figures, RequestFigures, WaitSummary};
 pub use plot::{draw_cold_starts, draw_idle_hours};
-pub use policies::{Policy, Rates};
+pub use policies::{Policy, RateScope};
 pub use run::{Comparison, Plan};
-pub use slow::SlowStart;
-pub use table::{write_slow_starts, write_table};
-pub use workload::{Request, Scenario, Workload};
-pub use world::{
-    ColdLoad, ColdRequest, Fate, Fault, Outcome, Tally, Violation, World, WorldSettings,
+pub use simulation::{
+    ColdLoad, ColdRequest, Counters, Fault, RequestOutcome, RequestStatus, Simulation,
+    SimulationSettings, Violation,
 };
+pub use table::{write_breakdowns, write_table};
+pub use workload::{Request, Scenario, Workload};
--- a/crates/sequoiawing_bench/src/main.rs
+++ b/crates/sequoiawing_bench/src/main.rs
@@ -1,9 +1,9 @@
-//! Runs the policy bench and reports its figures.
+//! Runs the policy benchmark and reports its figures.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use sequoiawing_bench::{
-    Comparison, Deployment, Plan, Policy, Scenario, WorldSettings, draw_cold_starts,
-    draw_idle_hours, write_slow_starts, write_table,
+    Comparison, Deployment, Plan, Policy, Scenario, SimulationSettings, draw_cold_starts,
+    draw_idle_hours, write_breakdowns, write_table,
 };
 use std::{
     error::Error,
@@ -18,15 +18,15 @@
     print!("{}", write_table(&comparisons));
     if let Some(count) = matches.get_one::<u32>("slowest") {
         let count = usize::try_from(*count).unwrap_or(usize::MAX);
-        print!("{}", write_slow_starts(&comparisons, count));
+        print!("{}", write_breakdowns(&comparisons, count));
     }
-    let Some(folder) = matches.get_one::<PathBuf>("out") else {
+    let Some(out_dir) = matches.get_one::<PathBuf>("out") else {
         return ExitCode::SUCCESS;
     };
-    match write(folder, &comparisons) {
+    match write_report(out_dir, &comparisons) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("sequoiawing-bench: {}: {error}", folder.display());
+            eprintln!("sequoiawing-bench: {}: {error}", out_dir.display());
             ExitCode::FAILURE
         }
     }
@@ -42,8 +42,8 @@
             .action(ArgAction::Append)
             .help(help)
     };
-    let defaults = WorldSettings::default();
-    let patience = defaults.idle.idle_factor.to_string();
+    let defaults = SimulationSettings::default();
+    let idle_factor = defaults.keep_alive.idle_factor.to_string();
     Command::new("sequoiawing-bench")
         .about("Measures the policies beside their baselines in virtual time")
         .arg(
@@ -63,7 +63,7 @@
         .arg(
             Arg::new("patience")
                 .long("patience")
-                .default_value(patience)
+                .default_value(idle_factor)
                 .value_parser(value_parser!(u32))
                 .help("How many times its load time a model may idle to avoid a load"),
         )
@@ -82,13 +82,13 @@
 }
 
 fn plan(matches: &ArgMatches) -> Plan {
-    let is_chosen = |key: &str, name: &str| {
-        let chosen = matches.get_many::<String>(key);
-        chosen.is_none_or(|mut names| names.any(|n| n == name))
+    let is_selected = |key: &str, name: &str| {
+        let selected = matches.get_many::<String>(key);
+        selected.is_none_or(|mut names| names.any(|n| n == name))
     };
-    let mut settings = WorldSettings::default();
-    if let Some(patience) = matches.get_one("patience") {
-        settings.idle.idle_factor = *patience;
+    let mut settings = SimulationSettings::default();
+    if let Some(idle_factor) = matches.get_one("patience") {
+        settings.keep_alive.idle_factor = *idle_factor;
     }
     let deployments = [Deployment::inkveld(), Deployment::kommentarwerk()];
     let deployments = deployments.into_iter();
@@ -100,23 +100,23 @@
     let secs = matches.get_one("secs").copied().unwrap_or_default();
     Plan {
         deployments: deployments
-            .filter(|d| is_chosen("deployment", d.name.as_str()))
+            .filter(|d| is_selected("deployment", d.name.as_str()))
             .collect(),
         scenarios: scenarios
-            .filter(|(n, _)| is_chosen("scenario", n))
+            .filter(|(n, _)| is_selected("scenario", n))
             .collect(),
-        policies: policies.filter(|(n, _)| is_chosen("policy", n)).collect(),
+        policies: policies.filter(|(n, _)| is_selected("policy", n)).collect(),
         seeds: seeds.unwrap_or_else(|| vec![1]),
-        span: Duration::from_secs(secs),
+        duration: Duration::from_secs(secs),
         settings,
     }
 }
 
-fn write(folder: &Path, comparisons: &[Comparison]) -> Result<(), Box<dyn Error>> {
-    std::fs::create_dir_all(folder)?;
+fn write_report(out_dir: &Path, comparisons: &[Comparison]) -> Result<(), Box<dyn Error>> {
+    std::fs::create_dir_all(out_dir)?;
     let json = serde_json::to_string_pretty(comparisons)?;
-    std::fs::write(folder.join("bench.json"), json)?;
-    std::fs::write(folder.join("bench.txt"), write_table(comparisons))?;
-    draw_cold_starts(&folder.join("cold-starts.svg"), comparisons)?;
-    draw_idle_hours(&folder.join("idle-hours.svg"), comparisons)
+    std::fs::write(out_dir.join("bench.json"), json)?;
+    std::fs::write(out_dir.join("bench.txt"), write_table(comparisons))?;
+    draw_cold_starts(&out_dir.join("cold-starts.svg"), comparisons)?;
+    draw_idle_hours(&out_dir.join("idle-hours.svg"), comparisons)
 }
--- a/crates/sequoiawing_bench/src/plot.rs
+++ b/crates/sequoiawing_bench/src/plot.rs
@@ -5,11 +5,11 @@
 };
 use std::{error::Error, path::Path};
 
-const SIZE: (u32, u32) = (960, 480);
+const IMAGE_SIZE: (u32, u32) = (960, 480);
 const COLORS: [RGBColor; 4] = [BLUE, RED, GREEN, MAGENTA];
 
-/// Draws the 99th percentile of cold starts of each policy beside the bound, a
-/// group of bars for each comparison.
+/// Draws the 99th percentile of cold starts of each policy beside the offline
+/// bound, with a group of bars per comparison.
 ///
 /// # Errors
 ///
@@ -19,10 +19,10 @@
         let mut bars: Vec<f64> = c
             .figures
             .iter()
-            .map(|f| millis(f.cold_models.p99))
+            .map(|f| to_f64(f.cold_models.p99))
             .collect();
         bars.truncate(COLORS.len() - 1);
-        bars.extend(c.figures.first().map(|f| millis(f.bound.p99)));
+        bars.extend(c.figures.first().map(|f| to_f64(f.bound.p99)));
         bars
     };
     draw(
@@ -47,7 +47,7 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a plot needs no exact value")]
-fn millis(value: u64) -> f64 {
+fn to_f64(value: u64) -> f64 {
     value as f64
 }
 
@@ -62,7 +62,7 @@
 {
     let groups: Vec<Vec<f64>> = comparisons.iter().map(bars).collect();
     let highest = groups.iter().flatten().copied().fold(1e-6, f64::max);
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, IMAGE_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let count = u32::try_from(groups.len())?;
     let names: Vec<String> = comparisons
@@ -79,14 +79,14 @@
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(groups.len() + 1)
-        .x_label_formatter(&|x| label(&names, *x))
+        .x_label_formatter(&|x| group_label(&names, *x))
         .draw()?;
     for (i, group) in groups.iter().enumerate() {
-        let left = f64::from(u32::try_from(i)?);
+        let group_start = f64::from(u32::try_from(i)?);
         let width = 0.8 / f64::from(u32::try_from(group.len().max(1))?);
         for (j, value) in group.iter().enumerate() {
-            let from = left + 0.1 + width * f64::from(u32::try_from(j)?);
-            let corners = [(from, 0.0), (from + width * 0.9, *value)];
+            let bar_start = group_start + 0.1 + width * f64::from(u32::try_from(j)?);
+            let corners = [(bar_start, 0.0), (bar_start + width * 0.9, *value)];
             let color = COLORS[j % COLORS.len()];
             chart.draw_series([Rectangle::new(corners, color.filled())])?;
         }
@@ -95,8 +95,8 @@
     Ok(())
 }
 
-/// Returns the name of the group that begins at `x`.
-fn label(names: &[String], x: f64) -> String {
+/// Returns the name of the group that starts at `x`.
+fn group_label(names: &[String], x: f64) -> String {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/crates/sequoiawing_bench/src/policies.rs
+++ b/crates/sequoiawing_bench/src/policies.rs
@@ -5,36 +5,38 @@
 };
 use std::time::Duration;
 
-/// How customers' rates are kept.
+/// The scope in which customers' rate limits are enforced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Rates {
-    /// One budget for the fleet, with a share for a data centre that is cut
-    /// off.
+pub enum RateScope {
+    /// One budget for the fleet, with a separate share for a disconnected data
+    /// centre.
     Fleet,
-    /// Each host has an equal part.
-    Split,
+    /// An equal part of the budget for each host.
+    PerHost,
 }
 
-/// The decisions that run in a bench.
+/// A set of policies to measure.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Policy {
-    /// What ships.
+    /// The default policies.
     Chosen,
-    /// First come, first served; one load a request queue; no locality.
+    /// First come, first served, with one load per request queue and no
+    /// locality.
     Fifo,
-    /// What ships, with a fixed keep-alive of ten minutes.
+    /// The default policies, with a fixed keep-alive of ten minutes.
     FixedIdle,
-    /// What ships, without shares between customers.
+    /// The default policies, without fair sharing between customers.
     NoFairness,
-    /// What ships, with each rate divided by host.
+    /// The default policies, with each customer's rate divided evenly among the
+    /// hosts.
     SplitRates,
 }
 
-/// The fixed keep-alive that stands beside the learned one.
-const FIXED_IDLE: Duration = Duration::from_mins(10);
+/// The fixed keep-alive that is compared with the learned one.
+const FIXED_KEEP_ALIVE: Duration = Duration::from_mins(10);
 
 impl Policy {
-    /// All policies, by the names under which they are reported.
+    /// All policies with the names used in reports and on the command line.
     pub const ALL: [(&'static str, Self); 5] = [
         ("chosen", Self::Chosen),
         ("first-come", Self::Fifo),
@@ -43,42 +45,43 @@
         ("split-rates", Self::SplitRates),
     ];
 
-    /// Returns the name under which it is reported.
+    /// Returns the name used in reports.
     pub fn name(self) -> &'static str {
-        let known = Self::ALL.iter().find(|(_, policy)| *policy == self);
-        known.map_or("unknown", |(name, _)| *name)
+        let entry = Self::ALL.iter().find(|(_, policy)| *policy == self);
+        entry.map_or("unknown", |(name, _)| *name)
     }
 
-    /// Returns how customers' rates are kept.
-    pub fn rates(self) -> Rates {
+    /// Returns the scope in which customers' rate limits are enforced.
+    pub fn rate_scope(self) -> RateScope {
         match self {
-            Self::SplitRates => Rates::Split,
-            _ => Rates::Fleet,
+            Self::SplitRates => RateScope::PerHost,
+            _ => RateScope::Fleet,
         }
     }
 
-    /// Reports whether routers ask the leaders of other data centres.
-    pub(crate) fn roams(self) -> bool {
+    /// Reports whether routers send demands to the leaders of other data
+    /// centres.
+    pub(crate) fn is_cross_centre(self) -> bool {
         self != Self::Fifo
     }
 
-    pub(crate) fn choice(self, seed: u64) -> Box<dyn ChooseUpstream> {
+    pub(crate) fn upstream_choice(self, seed: u64) -> Box<dyn ChooseUpstream> {
         match self {
             Self::Fifo => Box::new(LeastLoad),
             _ => Box::new(AffinityChoice::new(seed)),
         }
     }
 
-    pub(crate) fn share(self) -> Box<dyn QueueDiscipline> {
+    pub(crate) fn queue_discipline(self) -> Box<dyn QueueDiscipline> {
         match self {
             Self::Fifo | Self::NoFairness => Box::new(Fifo::default()),
             _ => Box::new(FairQueueing::default()),
         }
     }
 
-    pub(crate) fn place(self, idle: &KeepAliveSettings) -> PlacePolicies {
-        let learned = Box::new(LearnedKeepAlive::new(idle.clone()));
-        let chosen = PlacePolicies {
+    pub(crate) fn place_policies(self, keep_alive: &KeepAliveSettings) -> PlacePolicies {
+        let learned = Box::new(LearnedKeepAlive::new(keep_alive.clone()));
+        let defaults = PlacePolicies {
             keep_alive: learned,
             ..PlacePolicies::default()
         };
@@ -88,19 +91,22 @@
                 sequence: Box::new(OldestFirst),
                 placement: Box::new(FirstFit),
                 victims: Box::new(LeastRecentlyUsed),
-                keep_alive: Box::new(FixedKeepAlive::new(FIXED_IDLE)),
+                keep_alive: Box::new(FixedKeepAlive::new(FIXED_KEEP_ALIVE)),
             },
             Self::FixedIdle => PlacePolicies {
-                keep_alive: Box::new(FixedKeepAlive::new(FIXED_IDLE)),
-                ..chosen
+                keep_alive: Box::new(FixedKeepAlive::new(FIXED_KEEP_ALIVE)),
+                ..defaults
             },
             Self::NoFairness => PlacePolicies {
                 sequence: Box::new(OldestFirst),
-                ..chosen
+                ..defaults
             },
             Self::Chosen | Self::SplitRates => {
                 let sequence = Box::new(FairDeadline::default());
-                PlacePolicies { sequence, ..chosen }
+                PlacePolicies {
+                    sequence,
+                    ..defaults
+                }
             }
         }
     }
--- a/crates/sequoiawing_bench/src/run.rs
+++ b/crates/sequoiawing_bench/src/run.rs
@@ -1,9 +1,9 @@
-use crate::{Deployment, Figures, Policy, Scenario, Workload, World, WorldSettings};
+use crate::{Deployment, Figures, Policy, Scenario, Simulation, SimulationSettings, Workload};
 use sequoiawing_types::Name;
 use serde::Serialize;
 use std::{collections::BTreeMap, time::Duration};
 
-/// What is measured in one go.
+/// The combinations to measure.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The deployments.
@@ -12,16 +12,16 @@
     pub scenarios: Vec<(&'static str, Scenario)>,
     /// The policies.
     pub policies: Vec<(&'static str, Policy)>,
-    /// The seeds; each makes a run of its own.
+    /// The seeds; each gives a separate run.
     pub seeds: Vec<u64>,
-    /// How long each trace is.
-    pub span: Duration,
-    /// The settings of each run but its seed.
-    pub settings: WorldSettings,
+    /// The length of each trace.
+    pub duration: Duration,
+    /// The settings of each run, except the seed.
+    pub settings: SimulationSettings,
 }
 
-/// How many times longer than others the trace of a day is, since idle times
-/// are longer than loads.
+/// The length of a day trace relative to the others. It is longer because
+/// models stay idle for longer than they take to load.
 const DAY_FACTOR: u32 = 6;
 
 /// The figures of all policies for one trace.
@@ -31,21 +31,21 @@
     pub deployment: Name,
     /// The scenario.
     pub scenario: &'static str,
-    /// The seed of the trace and of the policies' own draws.
+    /// The seed of the trace and of the policies' random choices.
     pub seed: u64,
     /// The length of the trace, in seconds.
     pub secs: u64,
-    /// The requests of the trace.
+    /// The number of requests in the trace.
     pub requests: usize,
-    /// The figures by policy.
+    /// The figures of each policy.
     pub figures: Vec<Figures>,
-    /// For each customer, the part of its entitled requests that begin in time
-    /// when it sends alone, under the first policy.
+    /// For each customer, the fraction of its entitled requests that start in
+    /// time when it is the only customer, under the first policy.
     pub alone: BTreeMap<Name, f64>,
 }
 
 impl Plan {
-    /// Runs everything.
+    /// Runs all combinations.
     pub fn run(&self) -> Vec<Comparison> {
         let mut comparisons = Vec::new();
         for deployment in &self.deployments {
@@ -65,19 +65,19 @@
         scenario: Scenario,
         seed: u64,
     ) -> Comparison {
-        let span = match scenario {
-            Scenario::Day => self.span * DAY_FACTOR,
-            _ => self.span,
+        let duration = match scenario {
+            Scenario::Day => self.duration * DAY_FACTOR,
+            _ => self.duration,
         };
-        let workload = scenario.generate(deployment, seed, span);
-        let settings = WorldSettings {
+        let workload = scenario.generate(deployment, seed, duration);
+        let settings = SimulationSettings {
             seed,
             ..self.settings.clone()
         };
         let run = |policy_name, policy, workload: &Workload| {
-            let mut world = World::new(deployment.clone(), policy, settings.clone());
-            world.run(workload);
-            Figures::of(policy_name, deployment, &world)
+            let mut simulation = Simulation::new(deployment.clone(), policy, settings.clone());
+            simulation.run(workload);
+            Figures::collect(policy_name, deployment, &simulation)
         };
         let policies = self.policies.iter();
         let figures = policies.map(|(name, policy)| run(name, *policy, &workload));
@@ -89,17 +89,19 @@
             .filter(|_| scenario == Scenario::Flood);
         if let Some((policy_name, policy)) = first {
             for customer in &deployment.customers {
-                let mut own = workload.clone();
-                own.requests.retain(|r| r.customer == customer.name);
-                let figures = run(policy_name, *policy, &own);
-                alone.insert(customer.name.clone(), figures.total.service());
+                let mut own_workload = workload.clone();
+                own_workload
+                    .requests
+                    .retain(|r| r.customer == customer.name);
+                let figures = run(policy_name, *policy, &own_workload);
+                alone.insert(customer.name.clone(), figures.total.in_time_ratio());
             }
         }
         Comparison {
             deployment: deployment.name.clone(),
             scenario: name,
             seed,
-            secs: span.as_secs(),
+            secs: duration.as_secs(),
             requests: workload.requests.len(),
             figures,
             alone,
--- a/crates/sequoiawing_bench/src/world/event.rs
+++ b/crates/sequoiawing_bench/src/simulation/event.rs
@@ -2,45 +2,46 @@
 use sequoiawing_types::{Name, Time};
 use std::cmp::Ordering;
 
-/// What goes wrong.
+/// A fault injected into a simulation. Numbers are indexes into the
+/// deployment's lists.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// A runner's process dies.
     Kill(usize),
-    /// A runner's process dies as soon as it loads something.
+    /// A runner's process dies in the middle of its next load.
     KillInLoad(usize),
-    /// A runner is started anew.
+    /// A runner restarts.
     Restart(usize),
-    /// A runner stops doing anything, without its process ending.
+    /// A runner stops responding while its process stays alive.
     Freeze(usize),
-    /// A frozen runner goes on.
+    /// A frozen runner resumes.
     Thaw(usize),
-    /// A runner's loads never end.
+    /// A runner's loads never complete.
     Hang(usize),
     /// A runner's loads fail.
     FailLoads(usize),
-    /// A runner's answers to orders are lost.
+    /// A runner's replies to orders are lost.
     Mute(usize),
     /// Orders to a runner are lost.
     LoseOrders(usize),
-    /// A runner wants no new work.
+    /// A runner announces that it is leaving and must get no new work.
     Leave(usize),
-    /// A runner's loads, answers and orders work again.
+    /// A runner's loads, replies and orders work again.
     Recover(usize),
-    /// The weight store's speed changes.
+    /// The weight store's speed changes to this fraction of full speed.
     StoreSpeed(f64),
-    /// A data centre is cut off.
+    /// A data centre is disconnected.
     Cut(usize),
-    /// A data centre is reached again.
+    /// A data centre is reconnected.
     Heal(usize),
-    /// Another host leads a data centre, which has heard all announcements but
-    /// knows of no order.
+    /// Another host becomes leader of a data centre. It has received all
+    /// announcements but knows no pending orders.
     NewLeader(usize),
     /// A customer's keys are withdrawn.
     Withdraw(usize),
 }
 
-/// What happens next in a world.
+/// An event of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     Arrive(usize),
@@ -69,7 +70,7 @@
         id: u64,
         reply: Option<OrderReply>,
     },
-    Decided {
+    DemandAnswered {
         router: usize,
         target: Name,
         state: OrderState,
@@ -89,13 +90,13 @@
         centre: usize,
         target: (Name, Name),
     },
-    StoreStart {
+    TransferStart {
         runner: usize,
         epoch: u64,
         model: Name,
         memory: u64,
     },
-    StoreEnd {
+    TransferEnd {
         version: u64,
     },
     LoadEnd {
@@ -108,7 +109,7 @@
         epoch: u64,
         adapter: Name,
     },
-    Served {
+    RequestEnd {
         runner: usize,
         epoch: u64,
         request: usize,
@@ -117,30 +118,31 @@
     End,
 }
 
-/// An event at its time; the earliest is the greatest, for a heap.
+/// An event with its time. The ordering is reversed so that a max-heap yields
+/// the earliest event first.
 #[derive(Clone, Debug)]
-pub(crate) struct Due {
+pub(crate) struct ScheduledEvent {
     pub(crate) at: Time,
-    pub(crate) order: u64,
+    pub(crate) sequence: u64,
     pub(crate) event: Event,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
--- /dev/null
+++ b/crates/sequoiawing_bench/src/simulation/mod.rs
@@ -0,0 +1,20 @@
+mod announcements;
+mod checks;
+mod credits;
+mod event;
+mod faults;
+mod jobs;
+mod loads;
+mod outcome;
+mod placement;
+mod requests;
+mod run;
+mod sent_orders;
+mod state;
+mod violation;
+
+pub use event::Fault;
+pub use outcome::{ColdLoad, ColdRequest, Counters, RequestOutcome, RequestStatus};
+pub use state::{Simulation, SimulationSettings};
+pub use violation::Violation;
+pub(crate) use violation::ViolationLog;
--- a/crates/sequoiawing_bench/src/world/run.rs
+++ b/crates/sequoiawing_bench/src/simulation/run.rs
@@ -1,39 +1,39 @@
-//! How a world runs, and what it tells of it.
+//! The event loop and the results of a simulation.
 
 use crate::{
-    Request, Workload, World,
-    world::{
-        Fate, Fault, Outcome, Tally, Violation,
+    Request, Simulation, Workload,
+    simulation::{
+        Counters, Fault, RequestOutcome, RequestStatus, Violation,
         event::Event,
-        state::{GRACE, TICK},
+        state::{ANSWER_GRACE, TICK},
     },
 };
 use sequoiawing_policy::{DispatchEvent, PlaceEvent};
 use sequoiawing_types::Time;
 use std::time::Duration;
 
-impl World {
-    /// Adds a request.
+impl Simulation {
+    /// Schedules a request.
     pub fn add_request(&mut self, request: Request) {
         let i = self.requests.len();
         let router = &self.routers[request.router];
-        self.outcomes.push(Outcome {
+        self.outcomes.push(RequestOutcome {
             customer: request.customer.clone(),
             centre: self.centres[router.centre].name.clone(),
             tokens: request.tokens(),
-            ..Outcome::default()
+            ..RequestOutcome::default()
         });
         let at = request.at;
         self.requests.push(request);
-        self.push(at, Event::Arrive(i));
+        self.schedule(at, Event::Arrive(i));
     }
 
-    /// Adds a fault.
+    /// Schedules a fault.
     pub fn add_fault(&mut self, at: Time, fault: Fault) {
-        self.push(at, Event::Fault(fault));
+        self.schedule(at, Event::Fault(fault));
     }
 
-    /// Runs a workload to its end, and a little longer for what is open.
+    /// Runs a workload, plus 30 s in which open requests can complete.
     pub fn run(&mut self, workload: &Workload) {
         for request in &workload.requests {
             self.add_request(request.clone());
@@ -42,104 +42,106 @@
             self.add_fault(*at, *fault);
         }
         let rest = Duration::from_secs(30);
-        self.push(workload.end, Event::End);
+        self.schedule(workload.end, Event::End);
         self.run_until(workload.end + rest);
         self.finish();
     }
 
-    /// Runs until a moment.
+    /// Processes all events up to `until`.
     pub fn run_until(&mut self, until: Time) {
-        while let Some(due) = self.queue.peek() {
-            if due.at > until {
+        while let Some(scheduled) = self.queue.peek() {
+            if scheduled.at > until {
                 break;
             }
-            let Some(due) = self.queue.pop() else {
+            let Some(scheduled) = self.queue.pop() else {
                 break;
             };
-            self.now = due.at;
-            self.handle(due.event);
+            self.now = scheduled.at;
+            self.handle(scheduled.event);
         }
         self.now = until;
     }
 
-    /// Looks for requests that got no answer.
+    /// Reports requests that got no answer as violations.
     pub fn finish(&mut self) {
         for i in 0..self.requests.len() {
-            let due = self.requests[i].at + self.requests[i].deadline + GRACE;
-            if self.outcomes[i].fate == Fate::Open && due < self.now {
-                self.checker.report(Violation::Dropped { request: i });
+            let due = self.requests[i].at + self.requests[i].deadline + ANSWER_GRACE;
+            if self.outcomes[i].status == RequestStatus::Open && due < self.now {
+                self.violations.record(Violation::Dropped { request: i });
             }
         }
-        let open = std::mem::take(&mut self.cold);
-        self.tally.cold_loads.extend(open.into_values());
+        let open = std::mem::take(&mut self.open_cold);
+        self.counters.cold_loads.extend(open.into_values());
     }
 
     /// Returns the outcomes of all requests.
-    pub fn outcomes(&self) -> &[Outcome] {
+    pub fn outcomes(&self) -> &[RequestOutcome] {
         &self.outcomes
     }
 
-    /// Returns the deadlines of all requests, from their arrival.
+    /// Returns the deadlines of all requests, relative to their arrival.
     pub fn deadlines(&self) -> Vec<Duration> {
         self.requests.iter().map(|r| r.deadline).collect()
     }
 
-    /// Returns what was counted.
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    /// Returns the counters.
+    pub fn counters(&self) -> &Counters {
+        &self.counters
     }
 
-    /// Returns what happened that must not, at most the first of many.
+    /// Returns the recorded violations, at most the first 50.
     pub fn violations(&self) -> &[Violation] {
-        &self.checker.kept
+        &self.violations.recorded
     }
 
-    /// Counts overcommits, surplus replicas, doubles and other violations.
+    /// Returns the numbers of overcommits, surplus replicas, duplicate runs and
+    /// other violations.
     pub fn violation_counts(&self) -> [u64; 4] {
-        let checker = &self.checker;
+        let violations = &self.violations;
         [
-            checker.overcommits,
-            checker.surpluses,
-            checker.doubles,
-            checker.others,
+            violations.overcommits,
+            violations.surpluses,
+            violations.doubles,
+            violations.others,
         ]
     }
 
-    /// Counts the customers that were admitted more than their rate allows.
+    /// Returns the number of customers that were admitted more than their rate
+    /// and burst allow.
     pub fn overshoot(&self) -> u64 {
         self.budget.overshoot(self.now)
     }
 
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive(i) => self.arrive(i),
-            Event::Retry { request, avoid } => self.retry(request, avoid),
-            Event::Fault(fault) => self.fault(fault),
+            Event::Arrive(i) => self.handle_arrival(i),
+            Event::Retry { request, avoid } => self.retry_request(request, avoid),
+            Event::Fault(fault) => self.inject_fault(fault),
             Event::Announce { runner, epoch } => self.announce_periodically(runner, epoch),
             Event::Expire { runner, sequence } => self.expire(runner, sequence),
             Event::TickPlacer(i) => {
-                self.tell_placer(i, PlaceEvent::Tick);
-                self.push(self.now + TICK, Event::TickPlacer(i));
+                self.notify_placer(i, PlaceEvent::Tick);
+                self.schedule(self.now + TICK, Event::TickPlacer(i));
             }
             Event::TickRouter(i) => {
-                self.tell_router(i, DispatchEvent::Tick);
-                self.push(self.now + TICK, Event::TickRouter(i));
+                self.notify_router(i, DispatchEvent::Tick);
+                self.schedule(self.now + TICK, Event::TickRouter(i));
             }
             Event::Order {
                 runner,
                 centre,
                 order,
-            } => self.order(runner, centre, &order),
+            } => self.handle_order(runner, centre, &order),
             Event::Reply { centre, id, reply } => {
-                self.tell_placer(centre, PlaceEvent::Replied { id, reply });
+                self.notify_placer(centre, PlaceEvent::Replied { id, reply });
             }
-            Event::Decided {
+            Event::DemandAnswered {
                 router,
                 target,
                 state,
             } => {
                 let model = target;
-                self.tell_router(router, DispatchEvent::DemandAnswered { model, state });
+                self.notify_router(router, DispatchEvent::DemandAnswered { model, state });
             }
             Event::Allot {
                 centre,
@@ -157,39 +159,39 @@
                 number,
             } => {
                 if self.centres[centre].term == term {
-                    self.tell_placer(centre, PlaceEvent::Recorded { number });
+                    self.notify_placer(centre, PlaceEvent::Recorded { number });
                 }
             }
             Event::Recall { centre, target } => self.recall(centre, &target),
-            Event::StoreStart {
+            Event::TransferStart {
                 runner,
                 epoch,
                 model,
                 memory,
-            } => self.store_start(runner, epoch, model, memory),
-            Event::StoreEnd { version } => self.store_end(version),
+            } => self.start_transfer(runner, epoch, model, memory),
+            Event::TransferEnd { version } => self.end_transfers(version),
             Event::LoadEnd {
                 runner,
                 epoch,
                 model,
-            } => self.load_end(runner, epoch, &model),
+            } => self.finish_load(runner, epoch, &model),
             Event::AdapterEnd {
                 runner,
                 epoch,
                 adapter,
-            } => self.adapter_end(runner, epoch, &adapter),
-            Event::Served {
+            } => self.finish_adapter_load(runner, epoch, &adapter),
+            Event::RequestEnd {
                 runner,
                 epoch,
                 request,
                 attempt,
-            } => self.served(runner, epoch, request, attempt),
-            Event::End => self.end(),
+            } => self.finish_request(runner, epoch, request, attempt),
+            Event::End => self.stop_idle_count(),
         }
     }
 
-    /// Stops counting idle time.
-    pub(crate) fn end(&mut self) {
+    /// Adds the remaining idle time and stops counting it.
+    pub(crate) fn stop_idle_count(&mut self) {
         for i in 0..self.runners.len() {
             self.count_idle(i, None);
         }
--- a/crates/sequoiawing_bench/src/world/sent.rs
+++ b/crates/sequoiawing_bench/src/simulation/sent_orders.rs
@@ -2,13 +2,13 @@
 use sequoiawing_types::Name;
 use std::collections::HashMap;
 
-/// An identifier of a data centre's orders in one term.
+/// The data centre, fencing number and identifier of an order.
 type Key = (usize, u64, u64);
 
-/// Remembers which orders were sent.
+/// Checks that order identifiers are unique.
 ///
-/// An upstream carries out an identifier once, so one that comes again must be
-/// the newest order about its subject, sent again.
+/// An upstream executes an identifier once. A repeated identifier is therefore
+/// valid only as a resend of the latest order for the same subject.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SentOrders {
     orders: HashMap<Key, (Name, Order)>,
@@ -16,18 +16,19 @@
 }
 
 impl SentOrders {
-    /// Notes an order, and reports whether its identifier was another's.
-    pub(crate) fn is_repeated(&mut self, centre: usize, upstream: &Name, order: &Order) -> bool {
+    /// Records an order. Returns whether its identifier was reused other than by
+    /// a resend of the latest order.
+    pub(crate) fn record(&mut self, centre: usize, upstream: &Name, order: &Order) -> bool {
         let key = (centre, order.fence, order.id);
         let subject = (upstream.clone(), subject(order));
-        let former = self.newest.insert(subject, key);
+        let previous = self.newest.insert(subject, key);
         let value = (upstream.clone(), order.clone());
         let known = self.orders.insert(key, value.clone());
-        known.is_some_and(|k| k != value || former != Some(key))
+        known.is_some_and(|k| k != value || previous != Some(key))
     }
 }
 
-/// Returns what an order is about; a fence is about nothing.
+/// Returns the model or adapter of an order; empty for a fence.
 fn subject(order: &Order) -> Name {
     match &order.kind {
         OrderKind::Load { model, .. } | OrderKind::Unload { model } => model.clone(),
--- a/crates/sequoiawing_bench/src/table.rs
+++ b/crates/sequoiawing_bench/src/table.rs
@@ -1,10 +1,10 @@
-use crate::{Comparison, Figures, slow::write_slowest};
+use crate::{Comparison, Figures, breakdown::write_breakdown_lines};
 use std::fmt::Write;
 
 const HEADER: &str = "policy       | cold n  p50    p95    p99 | model p99  bound | idle h  loads | \
 worst customer        | refused limited unavoidable of entitled | over surplus double other";
 
-/// Writes comparisons as a table for people.
+/// Formats comparisons as a readable table.
 pub fn write_table(comparisons: &[Comparison]) -> String {
     let mut text = String::new();
     for comparison in comparisons {
@@ -25,7 +25,7 @@
         for figures in &comparison.figures {
             write_row(&mut text, figures);
         }
-        write_alone(&mut text, comparison);
+        write_alone_comparison(&mut text, comparison);
         text.push('\n');
     }
     text
@@ -41,9 +41,9 @@
         loads,
         ..
     } = figures;
-    let (name, service) = figures.worst().unwrap_or_default();
+    let (name, in_time) = figures.worst_customer().unwrap_or_default();
     let cold = total.cold;
-    let worst = format!("{name} {service:.3}");
+    let worst = format!("{name} {in_time:.3}");
     let refused = format!(
         "{} {} {} of {}",
         total.refused, total.limited, figures.bound_late, total.entitled
@@ -65,9 +65,9 @@
     .ok();
 }
 
-/// Writes where the time of the slowest cold starts went, for the first policy
-/// of each comparison.
-pub fn write_slow_starts(comparisons: &[Comparison], count: usize) -> String {
+/// Formats the slowest cold starts, split into phases, for the first policy of
+/// each comparison.
+pub fn write_breakdowns(comparisons: &[Comparison], count: usize) -> String {
     let mut text = String::new();
     for comparison in comparisons {
         let Some(figures) = comparison.figures.first() else {
@@ -82,25 +82,26 @@
         )
         .ok();
         let count = count.min(figures.slowest.len());
-        write_slowest(&mut text, &figures.slowest[..count]);
+        write_breakdown_lines(&mut text, &figures.slowest[..count]);
     }
     text
 }
 
-/// Writes how each customer fares beside how it does alone.
-fn write_alone(text: &mut String, comparison: &Comparison) {
+/// Writes the in-time fraction of each customer beside that when it is the only
+/// one.
+fn write_alone_comparison(text: &mut String, comparison: &Comparison) {
     let Some(figures) = comparison.figures.first() else {
         return;
     };
     for (name, alone) in &comparison.alone {
-        let Some(fared) = figures.customers.get(name) else {
+        let Some(customer) = figures.customers.get(name) else {
             continue;
         };
-        let service = fared.service();
-        let part = if *alone > 0.0 { service / alone } else { 1.0 };
+        let in_time = customer.in_time_ratio();
+        let ratio = if *alone > 0.0 { in_time / alone } else { 1.0 };
         writeln!(
             text,
-            "  {name}: in time {service:.3}, alone {alone:.3}, part {part:.3}"
+            "  {name}: in time {in_time:.3}, alone {alone:.3}, part {ratio:.3}"
         )
         .ok();
     }
--- a/crates/sequoiawing_bench/src/workload.rs
+++ b/crates/sequoiawing_bench/src/workload.rs
@@ -4,12 +4,12 @@
 use sequoiawing_types::{Name, Time};
 use std::time::Duration;
 
-/// One request of a trace.
+/// A request of a trace.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When it arrives.
+    /// The arrival time.
     pub at: Time,
-    /// The router that it comes to.
+    /// The index of the router that receives it.
     pub router: usize,
     /// The customer.
     pub customer: Name,
@@ -17,55 +17,55 @@
     pub model: Name,
     /// The adapter, as `model:adapter`.
     pub adapter: Option<Name>,
-    /// The tokens of its prompt.
-    pub prompt: u64,
-    /// The tokens of its answer.
-    pub answer: u64,
-    /// The time within which its answer is to begin.
+    /// The number of prompt tokens.
+    pub prompt_tokens: u64,
+    /// The number of answer tokens.
+    pub answer_tokens: u64,
+    /// The time after arrival within which the answer must start.
     pub deadline: Duration,
-    /// The hash of its prompt's beginning.
+    /// The hash of the prompt's prefix; 0 if it has none.
     pub prefix: u64,
 }
 
 impl Request {
-    /// Returns all its tokens.
+    /// Returns the total of prompt and answer tokens.
     pub fn tokens(&self) -> u64 {
-        self.prompt + self.answer
+        self.prompt_tokens + self.answer_tokens
     }
 }
 
-/// A trace and what goes wrong in it.
+/// A trace and its faults.
 #[derive(Clone, Debug, Default)]
 pub struct Workload {
-    /// The requests in the order of time.
+    /// The requests, ordered by arrival time.
     pub requests: Vec<Request>,
-    /// The faults.
+    /// The faults and their times.
     pub faults: Vec<(Time, Fault)>,
-    /// The time at which the trace ends.
+    /// The end of the trace.
     pub end: Time,
 }
 
-/// What a workload brings about.
+/// A kind of workload.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Scenario {
-    /// Every model by its own pattern: rare, regular or busy.
+    /// Each model has its own pattern: rare, regular or busy.
     Day,
-    /// First requests for many models at all routers at once.
+    /// Bursts of requests for many unloaded models at all routers.
     Burst,
     /// Bursts while one customer sends five times its rate.
     Flood,
     /// Bursts while the weight store runs at a quarter of its speed.
     SlowStore,
-    /// Bursts while runners die in mid-load, hang and restart.
+    /// Bursts while runners die during loads, hang and restart.
     Deaths,
-    /// Bursts while a data centre is cut off.
+    /// Bursts while a data centre is disconnected.
     Cut,
     /// Bursts while a customer's keys are withdrawn.
     Withdrawal,
 }
 
 impl Scenario {
-    /// All scenarios, by the names under which they are asked for.
+    /// All scenarios with their names on the command line.
     pub const ALL: [(&'static str, Self); 7] = [
         ("day", Self::Day),
         ("burst", Self::Burst),
@@ -76,38 +76,38 @@
         ("withdrawal", Self::Withdrawal),
     ];
 
-    /// Generates the workload; the same seed gives the same one.
-    pub fn generate(self, deployment: &Deployment, seed: u64, span: Duration) -> Workload {
-        let mut trace = Trace {
+    /// Generates the workload. The same seed gives the same workload.
+    pub fn generate(self, deployment: &Deployment, seed: u64, duration: Duration) -> Workload {
+        let mut builder = TraceBuilder {
             deployment,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             requests: Vec::new(),
-            end: Time::ZERO + span,
+            end: Time::ZERO + duration,
         };
         match self {
-            Self::Day => trace.add_patterns(),
+            Self::Day => builder.add_model_patterns(),
             Self::Flood => {
-                trace.add_bursts();
-                trace.add_steady(1.0);
-                trace.add_flood();
+                builder.add_bursts();
+                builder.add_steady(1.0);
+                builder.add_flood();
             }
             _ => {
-                trace.add_bursts();
-                trace.add_steady(1.0);
+                builder.add_bursts();
+                builder.add_steady(1.0);
             }
         }
-        let faults = self.faults(deployment, span);
-        let mut requests = trace.requests;
+        let faults = self.faults(deployment, duration);
+        let mut requests = builder.requests;
         requests.sort_by_key(|r| r.at);
         Workload {
             requests,
             faults,
-            end: Time::ZERO + span,
+            end: Time::ZERO + duration,
         }
     }
 
-    fn faults(self, deployment: &Deployment, span: Duration) -> Vec<(Time, Fault)> {
-        let at = |part: f64| Time::ZERO + span.mul_f64(part);
+    fn faults(self, deployment: &Deployment, duration: Duration) -> Vec<(Time, Fault)> {
+        let at = |fraction: f64| Time::ZERO + duration.mul_f64(fraction);
         let last = deployment.runners.len() - 1;
         match self {
             Self::SlowStore => vec![
@@ -131,42 +131,42 @@
     }
 }
 
-/// The time between bursts.
+/// The mean interval between bursts.
 const BURST_INTERVAL: Duration = Duration::from_secs(45);
 
-/// The models that wake up in a burst, at least and at most.
+/// The range of the number of models in a burst, end excluded.
 const BURST_MODELS: (usize, usize) = (6, 24);
 
-/// The requests for each of them.
+/// The range of the number of requests per model in a burst, end excluded.
 const BURST_REQUESTS: (usize, usize) = (2, 12);
 
-/// The time over which a burst's requests arrive, in milliseconds.
-const BURST_SPREAD: u64 = 400;
+/// The time over which the requests of a burst arrive, in milliseconds.
+const BURST_SPREAD_MS: u64 = 400;
 
-/// The deadlines of requests, in seconds.
-const DEADLINES: [u64; 4] = [4, 6, 10, 20];
+/// The possible deadlines of requests, in seconds.
+const DEADLINES_S: [u64; 4] = [4, 6, 10, 20];
 
-/// How many times its rate a flooding customer sends.
+/// The rate of a flooding customer relative to its limit.
 const FLOOD_FACTOR: f64 = 5.0;
 
-struct Trace<'a> {
+struct TraceBuilder<'a> {
     deployment: &'a Deployment,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     requests: Vec<Request>,
     end: Time,
 }
 
-impl Trace<'_> {
-    /// Draws a time between arrivals with the mean.
-    fn gap(&mut self, mean: Duration) -> Duration {
-        let draw: f64 = self.random.random_range(1e-9..1.0);
+impl TraceBuilder<'_> {
+    /// Draws an exponentially distributed interval with the given mean.
+    fn draw_interval(&mut self, mean: Duration) -> Duration {
+        let draw: f64 = self.rng.random_range(1e-9..1.0);
         mean.mul_f64(-draw.ln())
     }
 
-    fn customer(&mut self) -> usize {
+    fn draw_customer(&mut self) -> usize {
         let customers = &self.deployment.customers;
         let total: u64 = customers.iter().map(|c| c.rate).sum();
-        let mut draw = self.random.random_range(0..total);
+        let mut draw = self.rng.random_range(0..total);
         for (i, customer) in customers.iter().enumerate() {
             if draw < customer.rate {
                 return i;
@@ -176,56 +176,58 @@
         0
     }
 
-    fn request(&mut self, at: Time, customer: usize, model: usize) -> Request {
-        let known = &self.deployment.pool.models[model];
-        let adapter = (!known.adapters.is_empty() && self.random.random_bool(0.5)).then(|| {
-            let i = self.random.random_range(0..known.adapters.len());
-            Name::from(format!("{}:{}", known.name, known.adapters[i]))
+    fn draw_request(&mut self, at: Time, customer: usize, model: usize) -> Request {
+        let spec = &self.deployment.pool.models[model];
+        let adapter = (!spec.adapters.is_empty() && self.rng.random_bool(0.5)).then(|| {
+            let i = self.rng.random_range(0..spec.adapters.len());
+            Name::from(format!("{}:{}", spec.name, spec.adapters[i]))
         });
-        let group = self.random.random_range(0..8);
+        let group = self.rng.random_range(0..8);
         Request {
             at,
-            router: self.random.random_range(0..self.deployment.routers.len()),
+            router: self.rng.random_range(0..self.deployment.routers.len()),
             customer: self.deployment.customers[customer].name.clone(),
-            model: known.name.clone(),
+            model: spec.name.clone(),
             adapter,
-            prompt: self.random.random_range(50..400),
-            answer: self.random.random_range(15..80),
-            deadline: Duration::from_secs(DEADLINES[self.random.random_range(0..DEADLINES.len())]),
+            prompt_tokens: self.rng.random_range(50..400),
+            answer_tokens: self.rng.random_range(15..80),
+            deadline: Duration::from_secs(DEADLINES_S[self.rng.random_range(0..DEADLINES_S.len())]),
             prefix: (model as u64) * 100 + group + 1,
         }
     }
 
-    /// Adds bursts of first requests for idle models, at all routers at once.
+    /// Adds bursts of requests for random models at random routers.
     fn add_bursts(&mut self) {
         let mut at = Time::ZERO + Duration::from_secs(5);
         while at < self.end {
-            let models = self.random.random_range(BURST_MODELS.0..BURST_MODELS.1);
+            let models = self.rng.random_range(BURST_MODELS.0..BURST_MODELS.1);
             for _ in 0..models {
-                let model = self
-                    .random
-                    .random_range(0..self.deployment.pool.models.len());
-                let customer = self.customer();
-                let count = self.random.random_range(BURST_REQUESTS.0..BURST_REQUESTS.1);
+                let model = self.rng.random_range(0..self.deployment.pool.models.len());
+                let customer = self.draw_customer();
+                let count = self.rng.random_range(BURST_REQUESTS.0..BURST_REQUESTS.1);
                 for _ in 0..count {
-                    let delay = self.random.random_range(0..BURST_SPREAD);
-                    let request = self.request(at + Duration::from_millis(delay), customer, model);
+                    let delay = self.rng.random_range(0..BURST_SPREAD_MS);
+                    let request =
+                        self.draw_request(at + Duration::from_millis(delay), customer, model);
                     self.requests.push(request);
                 }
             }
-            at = at + self.gap(BURST_INTERVAL).max(Duration::from_secs(2));
+            at = at
+                + self
+                    .draw_interval(BURST_INTERVAL)
+                    .max(Duration::from_secs(2));
         }
     }
 
-    /// Adds an even load of all customers on few models, at a third of their
-    /// rates.
+    /// Adds a steady load from all customers on the first four models, at a
+    /// third of their rates times `factor`.
     fn add_steady(&mut self, factor: f64) {
         for customer in 0..self.deployment.customers.len() {
             self.add_customer(customer, factor / 3.0, 4);
         }
     }
 
-    /// Adds what the last small customer sends beyond its rate.
+    /// Adds requests of the last customer, a small one, beyond its rate.
     fn add_flood(&mut self) {
         let customer = self.deployment.customers.len() - 1;
         let models = self.deployment.pool.models.len();
@@ -236,17 +238,17 @@
         #[expect(clippy::cast_precision_loss, reason = "rates are small")]
         let rate = self.deployment.customers[customer].rate as f64 * factor;
         let mean = Duration::from_secs_f64(270.0 / rate);
-        let mut at = Time::ZERO + self.gap(mean);
+        let mut at = Time::ZERO + self.draw_interval(mean);
         while at < self.end {
-            let model = self.random.random_range(0..models);
-            let request = self.request(at, customer, model);
+            let model = self.rng.random_range(0..models);
+            let request = self.draw_request(at, customer, model);
             self.requests.push(request);
-            at = at + self.gap(mean);
+            at = at + self.draw_interval(mean);
         }
     }
 
-    /// Adds visits to each model by its own pattern.
-    fn add_patterns(&mut self) {
+    /// Adds groups of requests for each model by its own pattern.
+    fn add_model_patterns(&mut self) {
         for model in 0..self.deployment.pool.models.len() {
             let kind = model % 10;
             let mean = match kind {
@@ -256,27 +258,27 @@
                 _ => Duration::from_mins(25),
             };
             let is_regular = kind == 4 || kind == 9;
-            let mut at = Time::ZERO + mean.mul_f64(self.random.random_range(0.0..1.0));
+            let mut at = Time::ZERO + mean.mul_f64(self.rng.random_range(0.0..1.0));
             while at < self.end {
-                self.add_visit(at, model);
-                let gap = if is_regular {
-                    mean.mul_f64(self.random.random_range(0.98..1.02))
+                self.add_request_group(at, model);
+                let interval = if is_regular {
+                    mean.mul_f64(self.rng.random_range(0.98..1.02))
                 } else {
-                    self.gap(mean)
+                    self.draw_interval(mean)
                 };
-                at = at + gap.max(Duration::from_secs(1));
+                at = at + interval.max(Duration::from_secs(1));
             }
         }
     }
 
-    fn add_visit(&mut self, at: Time, model: usize) {
-        let customer = self.customer();
-        let count = self.random.random_range(1..6);
+    fn add_request_group(&mut self, at: Time, model: usize) {
+        let customer = self.draw_customer();
+        let count = self.rng.random_range(1..6);
         let mut at = at;
         for _ in 0..count {
-            let request = self.request(at, customer, model);
+            let request = self.draw_request(at, customer, model);
             self.requests.push(request);
-            at = at + Duration::from_millis(self.random.random_range(0..1_500));
+            at = at + Duration::from_millis(self.rng.random_range(0..1_500));
         }
     }
 }
--- a/crates/sequoiawing_bench/tests/scripts.rs
+++ b/crates/sequoiawing_bench/tests/scripts.rs
@@ -1,22 +1,23 @@
-//! Runs scripted scenarios against the decisions in virtual time.
+//! Runs scripted scenarios against the policies in virtual time.
 //!
-//! A script declares models, runners and customers, sends requests, brings
-//! about faults and lets time pass; what happens is compared with the file.
+//! A script declares models, runners and customers, sends requests, injects
+//! faults and advances the time. The resulting trace is compared with the file.
 
 use datadriven::{TestCase, walk};
 use sequoiawing_bench::{
-    Deployment, Fate, Fault, Policy, Request, RunnerSpec, StoreSpec, World, WorldSettings,
+    Deployment, Fault, Policy, Request, RequestStatus, RunnerSpec, Simulation, SimulationSettings,
+    StoreSpec,
 };
 use sequoiawing_tables::{Customer, Model, Pool, Shared};
 use sequoiawing_types::{Name, Time};
 use std::{str::FromStr, time::Duration};
 
-/// What a script has declared so far, and the world that runs it.
+/// The deployment declared by a script, and the simulation that runs it.
 struct Script {
     deployment: Deployment,
-    world: Option<World>,
+    simulation: Option<Simulation>,
     now: Time,
-    seen: usize,
+    summarized: usize,
 }
 
 impl Script {
@@ -31,32 +32,32 @@
             ..Pool::default()
         };
         deployment.store = StoreSpec {
-            starts: 8.0,
+            load_rate: 8.0,
             slots: 4,
         };
         Self {
             deployment,
-            world: None,
+            simulation: None,
             now: Time::ZERO,
-            seen: 0,
+            summarized: 0,
         }
     }
 
     fn run(&mut self, case: &mut TestCase) -> String {
         match case.directive.as_str() {
             "deployment" => self.declare(case),
-            "requests" => self.request(case),
-            "fault" => self.fault(case),
-            "run" => self.pass(case),
+            "requests" => self.add_requests(case),
+            "fault" => self.add_faults(case),
+            "run" => self.advance(case),
             other => panic!("unknown directive {other}"),
         }
     }
 
-    /// Declares one thing a line: `router`, `model`, `runner` or `customer`.
+    /// Declares one item per line: `router`, `model`, `runner` or `customer`.
     fn declare(&mut self, case: &TestCase) -> String {
         for line in case.input.lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let value = |key: &str| lookup(&words, key);
+            let value = |key: &str| find_value(&words, key);
             match words[0] {
                 "router" => self.add_router(words[1]),
                 "model" => self.deployment.pool.models.push(Model {
@@ -91,9 +92,9 @@
                 other => panic!("unknown declaration {other}"),
             }
         }
-        let settings = WorldSettings::default();
-        let world = World::new(self.deployment.clone(), Policy::Chosen, settings);
-        self.world = Some(world.with_trace());
+        let settings = SimulationSettings::default();
+        let simulation = Simulation::new(self.deployment.clone(), Policy::Chosen, settings);
+        self.simulation = Some(simulation.with_trace());
         String::new()
     }
 
@@ -105,26 +106,29 @@
         self.deployment.routers.push(centre);
     }
 
-    /// Adds the requests of each line, `count` of them `every` so many
-    /// milliseconds.
-    fn request(&mut self, case: &TestCase) -> String {
-        let world = self.world.as_mut().expect("a deployment is declared first");
+    /// Adds the requests of each line: `count` of them, `every` milliseconds
+    /// apart.
+    fn add_requests(&mut self, case: &TestCase) -> String {
+        let simulation = self
+            .simulation
+            .as_mut()
+            .expect("the script must declare a deployment first");
         for line in case.input.lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let value = |key: &str| lookup(&words, key);
-            let model = value("model").expect("a request names its model");
+            let value = |key: &str| find_value(&words, key);
+            let model = value("model").expect("a request needs a model");
             let every: u64 = parse(value("every").or(Some("0")));
             for i in 0..parse(value("count").or(Some("1"))) {
                 let at: u64 = parse(value("at").or(Some("0")));
                 let base = model.split(':').next().unwrap_or(model);
-                world.add_request(Request {
+                simulation.add_request(Request {
                     at: self.now + Duration::from_millis(at + i * every),
                     router: parse(value("router").or(Some("0"))),
                     customer: Name::from(value("customer").unwrap_or("press")),
                     model: Name::from(base),
                     adapter: model.contains(':').then(|| Name::from(model)),
-                    prompt: 100,
-                    answer: parse(value("answer").or(Some("50"))),
+                    prompt_tokens: 100,
+                    answer_tokens: parse(value("answer").or(Some("50"))),
                     deadline: Duration::from_millis(parse(value("deadline").or(Some("10000")))),
                     prefix: parse(value("prefix").or(Some("0"))),
                 });
@@ -133,31 +137,34 @@
         String::new()
     }
 
-    fn fault(&mut self, case: &TestCase) -> String {
-        let world = self.world.as_mut().expect("a deployment is declared first");
+    fn add_faults(&mut self, case: &TestCase) -> String {
+        let simulation = self
+            .simulation
+            .as_mut()
+            .expect("the script must declare a deployment first");
         for line in case.input.lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let at: u64 = parse(lookup(&words, "at").or(Some("0")));
-            let i = || {
-                let place = self.deployment.runners.iter();
-                let mut place = place.map(|r| r.name.as_str());
-                place
+            let at: u64 = parse(find_value(&words, "at").or(Some("0")));
+            let runner = || {
+                let runners = self.deployment.runners.iter();
+                let mut names = runners.map(|r| r.name.as_str());
+                names
                     .position(|name| name == words[1])
-                    .expect("a known runner")
+                    .expect("unknown runner")
             };
             let number = || parse(Some(words[1]));
             let fault = match words[0] {
-                "kill" => Fault::Kill(i()),
-                "kill-in-load" => Fault::KillInLoad(i()),
-                "restart" => Fault::Restart(i()),
-                "freeze" => Fault::Freeze(i()),
-                "thaw" => Fault::Thaw(i()),
-                "hang" => Fault::Hang(i()),
-                "fail-loads" => Fault::FailLoads(i()),
-                "mute" => Fault::Mute(i()),
-                "lose-orders" => Fault::LoseOrders(i()),
-                "leave" => Fault::Leave(i()),
-                "recover" => Fault::Recover(i()),
+                "kill" => Fault::Kill(runner()),
+                "kill-in-load" => Fault::KillInLoad(runner()),
+                "restart" => Fault::Restart(runner()),
+                "freeze" => Fault::Freeze(runner()),
+                "thaw" => Fault::Thaw(runner()),
+                "hang" => Fault::Hang(runner()),
+                "fail-loads" => Fault::FailLoads(runner()),
+                "mute" => Fault::Mute(runner()),
+                "lose-orders" => Fault::LoseOrders(runner()),
+                "leave" => Fault::Leave(runner()),
+                "recover" => Fault::Recover(runner()),
                 "store-speed" => Fault::StoreSpeed(parse(Some(words[1]))),
                 "cut" => Fault::Cut(number()),
                 "heal" => Fault::Heal(number()),
@@ -165,51 +172,63 @@
                 "withdraw" => Fault::Withdraw(number()),
                 other => panic!("unknown fault {other}"),
             };
-            world.add_fault(self.now + Duration::from_millis(at), fault);
+            simulation.add_fault(self.now + Duration::from_millis(at), fault);
         }
         String::new()
     }
 
-    /// Lets time pass and tells what runners were ordered and requests met.
-    fn pass(&mut self, case: &mut TestCase) -> String {
-        let world = self.world.as_mut().expect("a deployment is declared first");
-        let millis: u64 = case.take_arg("ms").expect("a run takes a time");
-        let is_quiet = case.take_flag("quiet").expect("a flag has no value");
+    /// Advances the time and returns the trace of orders and requests.
+    fn advance(&mut self, case: &mut TestCase) -> String {
+        let simulation = self
+            .simulation
+            .as_mut()
+            .expect("the script must declare a deployment first");
+        let millis: u64 = case.take_arg("ms").expect("`run` needs `ms`");
+        let is_quiet = case.take_flag("quiet").expect("`quiet` takes no value");
         self.now = self.now + Duration::from_millis(millis);
-        world.run_until(self.now);
-        let trace = world.take_trace();
+        simulation.run_until(self.now);
+        let trace = simulation.take_trace();
         let lines = trace
             .into_iter()
             .filter(|l| !is_quiet && !l.contains("may hold"));
         let mut text: Vec<String> = lines.collect();
         if is_quiet {
-            text.push(summary(world, self.seen));
+            text.push(summary(simulation, self.summarized));
         }
-        self.seen = world.outcomes().len();
-        text.extend(world.violations().iter().map(|v| format!("VIOLATION {v}")));
+        self.summarized = simulation.outcomes().len();
+        text.extend(
+            simulation
+                .violations()
+                .iter()
+                .map(|v| format!("VIOLATION {v}")),
+        );
         let lines = text.into_iter().filter(|line| !line.is_empty());
         lines.map(|line| line + "\n").collect()
     }
 }
 
-/// Sums up the requests that were added since the last summary, by customer.
-fn summary(world: &World, from: usize) -> String {
-    let outcomes = &world.outcomes()[from..];
+/// Summarizes the requests added since the last summary, by customer.
+fn summary(simulation: &Simulation, from: usize) -> String {
+    let outcomes = &simulation.outcomes()[from..];
     let mut customers: Vec<&Name> = outcomes.iter().map(|o| &o.customer).collect();
     customers.sort();
     customers.dedup();
     let lines = customers.into_iter().map(|name| {
-        let own = || outcomes.iter().filter(|o| o.customer == *name);
-        let begun = own().filter(|o| o.fate == Fate::Begun).count();
-        let refused = own().filter(|o| matches!(o.fate, Fate::Refused(_))).count();
-        let longest = own().map(|o| o.wait.as_millis()).max().unwrap_or(0);
+        let of_customer = || outcomes.iter().filter(|o| o.customer == *name);
+        let begun = of_customer()
+            .filter(|o| o.status == RequestStatus::Begun)
+            .count();
+        let refused = of_customer()
+            .filter(|o| matches!(o.status, RequestStatus::Refused(_)))
+            .count();
+        let longest = of_customer().map(|o| o.wait.as_millis()).max().unwrap_or(0);
         format!("{name}: {begun} begun, {refused} refused, longest wait {longest} ms")
     });
     lines.collect::<Vec<String>>().join("\n")
 }
 
 /// Returns the value of `key=value` among the words.
-fn lookup<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
+fn find_value<'a>(words: &[&'a str], key: &str) -> Option<&'a str> {
     let pairs = words.iter().filter_map(|w| w.split_once('='));
     let mut values = pairs.filter(|(k, _)| *k == key).map(|(_, v)| v);
     values.next()
@@ -220,11 +239,11 @@
     T: FromStr,
 {
     let value = text.and_then(|t| t.parse().ok());
-    value.unwrap_or_else(|| panic!("a value is missing or unreadable: {text:?}"))
+    value.unwrap_or_else(|| panic!("missing or invalid value: {text:?}"))
 }
 
-/// Ends what a directive prints with a line break, as `datadriven` compares it.
-fn shown(text: &str) -> String {
+/// Formats the output of a directive the way `datadriven` expects it.
+fn expected_form(text: &str) -> String {
     match text.trim_end() {
         "" => "nothing\n".to_owned(),
         text => format!("{text}\n"),
@@ -238,7 +257,7 @@
             fn $name() {
                 walk(concat!("tests/scripts/", $file), |file| {
                     let mut script = Script::new();
-                    file.run(|case| shown(&script.run(&mut case.clone())));
+                    file.run(|case| expected_form(&script.run(&mut case.clone())));
                 });
             }
         )*
@@ -250,21 +269,21 @@
     a_lost_reply_loads_nothing_twice: "lost-reply.txt",
     an_order_that_was_lost_is_sent_again: "resent-order.txt",
     a_runner_that_dies_in_a_load_is_replaced: "death-in-load.txt",
-    a_restarted_runner_is_loaded_anew: "restart.txt",
+    a_restarted_runner_is_loaded_again: "restart.txt",
     a_hanging_load_is_placed_elsewhere: "hanging-load.txt",
     a_short_load_that_hangs_is_soon_placed_elsewhere: "hanging-near.txt",
     a_model_behind_short_loads_is_not_refused: "queued.txt",
     a_failed_load_goes_elsewhere: "failed-load.txt",
     a_slow_store_lengthens_the_estimate: "slow-store.txt",
     the_nearest_checkpoint_is_loaded: "nearest.txt",
-    the_cheapest_model_makes_room: "eviction.txt",
+    the_cheapest_idle_model_is_evicted: "eviction.txt",
     a_new_leader_waits_for_old_orders: "new-leader.txt",
     a_surplus_replica_is_unloaded: "surplus.txt",
-    a_leaving_runner_gets_nothing: "leaving.txt",
-    a_remote_replica_serves: "remote.txt",
+    a_leaving_runner_gets_no_work: "leaving.txt",
+    a_remote_replica_serves_requests: "remote.txt",
     a_flood_harms_no_other_customer: "flood.txt",
     a_late_start_is_refused_at_once: "too-late.txt",
     an_idle_model_is_unloaded: "idle.txt",
-    an_adapter_goes_to_its_model: "adapter.txt",
-    a_regular_model_is_loaded_ahead: "regular.txt",
+    an_adapter_is_loaded_with_its_model: "adapter.txt",
+    a_regularly_used_model_is_preloaded: "regular.txt",
 }
--- a/crates/sequoiawing_bench/tests/smoke.rs
+++ b/crates/sequoiawing_bench/tests/smoke.rs
@@ -1,24 +1,24 @@
-//! Runs the bench for a short trace, twice, to see that it gives the same
-//! report and that nothing happens that must not.
+//! Runs a short trace twice. Checks that both runs give the same report and
+//! that no invariant is violated.
 
 use sequoiawing_bench::{
-    Deployment, Plan, Policy, Scenario, WorldSettings, draw_cold_starts, draw_idle_hours,
+    Deployment, Plan, Policy, Scenario, SimulationSettings, draw_cold_starts, draw_idle_hours,
     write_table,
 };
 use std::time::Duration;
 
 fn plan(scenario: &'static str) -> Plan {
-    let known = Scenario::ALL.into_iter();
-    let scenarios = known.filter(|(name, _)| *name == scenario).collect();
+    let scenarios = Scenario::ALL.into_iter();
+    let scenarios = scenarios.filter(|(name, _)| *name == scenario).collect();
     let policies = Policy::ALL.into_iter();
-    let named = |name: &str| name == "chosen" || name == "first-come";
+    let is_compared = |name: &str| name == "chosen" || name == "first-come";
     Plan {
         deployments: vec![Deployment::inkveld()],
         scenarios,
-        policies: policies.filter(|(name, _)| named(name)).collect(),
+        policies: policies.filter(|(name, _)| is_compared(name)).collect(),
         seeds: vec![1],
-        span: Duration::from_secs(8),
-        settings: WorldSettings::default(),
+        duration: Duration::from_secs(8),
+        settings: SimulationSettings::default(),
     }
 }
 
