--- a/crates/sequoiawing_bench/tests/shares/network.rs
+++ b/crates/sequoiawing_bench/tests/shares/network.rs
@@ -1,6 +1,7 @@
-//! The messages between hosts and to the log, which come late, twice or never.
+//! Messages between hosts and to the log, which may be delayed, duplicated or
+//! lost.
 
-use crate::world::{HOSTS, Planted, Target, World, centre};
+use crate::simulation::{HOSTS_PER_CENTRE, InjectedFault, Simulation, Target, centre};
 use rand::RngExt;
 use sequoiawing_cell::{CellEvent, CellReply, CellRequest};
 use sequoiawing_policy::PlaceEvent;
@@ -23,8 +24,9 @@
     payload: Payload,
 }
 
-impl World {
-    /// Sends a command to the log: mostly soon, sometimes seconds late or twice.
+impl Simulation {
+    /// Sends a command to the log: usually with a short delay, sometimes
+    /// seconds late or twice.
     pub(crate) fn allot(&mut self, i: usize, term: u64, target: Target, want: u32) {
         let host = &mut self.hosts[i];
         host.serial += 1;
@@ -32,12 +34,12 @@
         let command = Command::Allot {
             pool: pool.clone(),
             model: model.clone(),
-            centre: centre(i / HOSTS),
+            centre: centre(i / HOSTS_PER_CENTRE),
             term,
             serial: host.serial,
             want,
         };
-        if self.cut[i / HOSTS] {
+        if self.disconnected[i / HOSTS_PER_CENTRE] {
             let count = None;
             let event = PlaceEvent::Allotted { pool, model, count };
             return self.send(
@@ -72,11 +74,11 @@
         let Outcome::Allotted(count) = self.log.apply(command) else {
             return;
         };
-        let count = match self.planted {
-            Planted::EarlyGrant => count.max(want),
+        let count = match self.injected {
+            InjectedFault::EarlyGrant => count.max(want),
             _ => count,
         };
-        let is_lost = self.cut[i / HOSTS] || self.rng.random_ratio(1, 10);
+        let is_lost = self.disconnected[i / HOSTS_PER_CENTRE] || self.rng.random_ratio(1, 10);
         let count = Some(count).filter(|_| !is_lost);
         let event = PlaceEvent::Allotted { pool, model, count };
         let event = Box::new(event);
@@ -104,9 +106,10 @@
         if let Payload::Command(command) = payload {
             return self.apply(from, *command);
         }
-        let is_apart =
-            from / HOSTS != to / HOSTS && (self.cut[from / HOSTS] || self.cut[to / HOSTS]);
-        if !self.hosts[to].is_alive || is_apart {
+        let is_disconnected = from / HOSTS_PER_CENTRE != to / HOSTS_PER_CENTRE
+            && (self.disconnected[from / HOSTS_PER_CENTRE]
+                || self.disconnected[to / HOSTS_PER_CENTRE]);
+        if !self.hosts[to].is_alive || is_disconnected {
             return;
         }
         match payload {
@@ -117,12 +120,12 @@
             Payload::Answer { term, event } => {
                 let lease = self.hosts[to].cell.lease(self.now);
                 if lease.is_some_and(|l| l.term == term) {
-                    self.place(to, *event);
+                    self.notify_placer(to, *event);
                 }
             }
             Payload::Recall((pool, model)) => {
-                if from / HOSTS != to / HOSTS {
-                    self.place(to, PlaceEvent::Recalled { pool, model });
+                if from / HOSTS_PER_CENTRE != to / HOSTS_PER_CENTRE {
+                    self.notify_placer(to, PlaceEvent::Recalled { pool, model });
                 }
             }
             Payload::Command(_) => {}
--- a/crates/sequoiawing_bench/tests/shares/random.rs
+++ b/crates/sequoiawing_bench/tests/shares/random.rs
@@ -1,7 +1,7 @@
-//! Random faults over fixed seeds: never more replicas than the model's, and
-//! the checker catches planted faults.
+//! Runs random faults over fixed seeds. Checks that the replica limits always
+//! hold, and that the checker detects injected faults.
 
-use crate::world::{CENTRES, HOSTS, MODELS, Planted, World};
+use crate::simulation::{CENTRES, HOSTS_PER_CENTRE, InjectedFault, MODELS, Simulation};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -9,22 +9,22 @@
 
 const SEEDS: u64 = 24;
 
-fn start(seed: u64, planted: Planted) -> (World, ChaCha8Rng) {
+fn start(seed: u64, injected: InjectedFault) -> (Simulation, ChaCha8Rng) {
     let rng = ChaCha8Rng::seed_from_u64(seed);
-    let dice = ChaCha8Rng::seed_from_u64(seed + 1_000);
-    (World::new(dice, planted), rng)
+    let simulation_rng = ChaCha8Rng::seed_from_u64(seed + 1_000);
+    (Simulation::new(simulation_rng, injected), rng)
 }
 
-/// Joins the hosts of the first data centres, one after the other.
-fn found(world: &mut World, centres: usize) -> Option<String> {
-    for i in 0..centres * HOSTS {
-        world.change(i, true);
+/// Joins the hosts of the first data centres one by one.
+fn join_hosts(simulation: &mut Simulation, centres: usize) -> Option<String> {
+    for i in 0..centres * HOSTS_PER_CENTRE {
+        simulation.change_membership(i, true);
         for _ in 0..200 {
-            for host in 0..world.hosts.len() {
-                world.publish(host);
+            for host in 0..simulation.hosts.len() {
+                simulation.sync_tables(host);
             }
-            world.step();
-            if let Some(fault) = world.fault() {
+            simulation.step();
+            if let Some(fault) = simulation.check_limits() {
                 return Some(fault);
             }
         }
@@ -32,74 +32,74 @@
     None
 }
 
-fn disturb(world: &mut World, rng: &mut ChaCha8Rng) {
+fn random_step(simulation: &mut Simulation, rng: &mut ChaCha8Rng) {
     let centre = rng.random_range(0..CENTRES);
-    let host = rng.random_range(0..world.hosts.len());
+    let host = rng.random_range(0..simulation.hosts.len());
     let model = rng.random_range(0..MODELS);
     match rng.random_range(0..400) {
-        0..4 => world.cut[centre] = true,
-        4..8 => world.cut[centre] = false,
-        8..11 => world.restart(host),
-        11 => world.hosts[host].is_alive = false,
-        12..14 => world.change(host, true),
-        14 => world.change(host, false),
-        15 => world.set_replicas(model, rng.random_range(1..4)),
-        16..50 => world.publish(host),
+        0..4 => simulation.disconnected[centre] = true,
+        4..8 => simulation.disconnected[centre] = false,
+        8..11 => simulation.restart(host),
+        11 => simulation.hosts[host].is_alive = false,
+        12..14 => simulation.change_membership(host, true),
+        14 => simulation.change_membership(host, false),
+        15 => simulation.set_replicas(model, rng.random_range(1..4)),
+        16..50 => simulation.sync_tables(host),
         50..160 => {
-            // Callers come to the whole data centre, whoever leads it.
-            for i in centre * HOSTS..(centre + 1) * HOSTS {
-                world.demand(i, model);
+            // Requests reach all hosts of the data centre, whichever leads it.
+            for i in centre * HOSTS_PER_CENTRE..(centre + 1) * HOSTS_PER_CENTRE {
+                simulation.demand(i, model);
             }
         }
         _ => {}
     }
 }
 
-/// Runs one seed and returns the first fault with the loads, those while cut
-/// off apart.
-fn run(seed: u64, planted: Planted) -> (Option<String>, u32, u32) {
-    let (mut world, mut rng) = start(seed, planted);
-    let mut fault = found(&mut world, 2);
+/// Runs one seed. Returns the first violation, the number of loads, and the
+/// number of loads in disconnected data centres.
+fn run(seed: u64, injected: InjectedFault) -> (Option<String>, u32, u32) {
+    let (mut simulation, mut rng) = start(seed, injected);
+    let mut fault = join_hosts(&mut simulation, 2);
     for _ in 0..STEPS {
         if fault.is_some() {
             break;
         }
-        disturb(&mut world, &mut rng);
-        world.step();
-        fault = world.fault();
+        random_step(&mut simulation, &mut rng);
+        simulation.step();
+        fault = simulation.check_limits();
     }
-    (fault, world.loads, world.cut_loads)
+    (fault, simulation.loads, simulation.disconnected_loads)
 }
 
 #[test]
-fn never_more_than_the_replicas_over_all_seeds() {
-    let (mut loads, mut cut_loads) = (0, 0);
+fn never_exceeds_the_replicas_over_all_seeds() {
+    let (mut loads, mut disconnected_loads) = (0, 0);
     for seed in 0..SEEDS {
-        let (fault, all, cut) = run(seed, Planted::None);
+        let (fault, total, disconnected) = run(seed, InjectedFault::None);
         assert_eq!(fault, None, "seed {seed}");
-        loads += all;
-        cut_loads += cut;
+        loads += total;
+        disconnected_loads += disconnected;
     }
-    println!("{loads} loads, {cut_loads} while cut off");
+    println!("{loads} loads, {disconnected_loads} while disconnected");
     assert!(
-        cut_loads > 100,
-        "the runs must load while cut off: {cut_loads}"
+        disconnected_loads > 100,
+        "too few loads in disconnected data centres: {disconnected_loads}"
     );
 }
 
 macro_rules! caught {
-    ($($name:ident: $planted:expr,)*) => {$(
+    ($($name:ident: $injected:expr,)*) => {$(
         #[test]
         fn $name() {
-            let caught = (0..SEEDS).find_map(|seed| Some((seed, run(seed, $planted).0?)));
+            let caught = (0..SEEDS).find_map(|seed| Some((seed, run(seed, $injected).0?)));
             println!("{caught:?}");
-            assert!(caught.is_some(), "the checker must catch {:?}", $planted);
+            assert!(caught.is_some(), "the checker must detect {:?}", $injected);
         }
     )*};
 }
 
 caught! {
-    catches_a_release_that_the_cell_does_not_remember: Planted::ReleaseUnrecorded,
-    catches_a_grant_before_the_release: Planted::EarlyGrant,
-    catches_a_new_leader_with_old_memory: Planted::OldMemory,
+    catches_a_release_that_the_cell_did_not_record: InjectedFault::UnrecordedRelease,
+    catches_a_grant_before_the_release: InjectedFault::EarlyGrant,
+    catches_a_new_leader_with_stale_shares: InjectedFault::StaleShares,
 }
--- a/crates/sequoiawing_bench/tests/shares/runner.rs
+++ b/crates/sequoiawing_bench/tests/shares/runner.rs
@@ -1,9 +1,9 @@
-use crate::world::pool;
+use crate::simulation::pool;
 use sequoiawing_fleet::{Order, OrderKind, OrderReply, UpstreamState};
 use sequoiawing_types::Name;
 use std::collections::BTreeSet;
 
-/// An engine that does what it is told at once, and each order once.
+/// A runner that executes each order immediately and only once.
 pub(crate) struct Runner {
     pub(crate) state: UpstreamState,
     orders: BTreeSet<(u64, u64)>,
@@ -27,19 +27,19 @@
         }
     }
 
-    pub(crate) fn take(&mut self, order: &Order) -> OrderReply {
+    pub(crate) fn handle_order(&mut self, order: &Order) -> OrderReply {
         if order.fence < self.state.fence {
             let fence = self.state.fence;
             return OrderReply::Outdated { fence };
         }
         self.state.fence = order.fence;
         if self.orders.insert((order.fence, order.id)) {
-            self.carry_out(&order.kind);
+            self.execute(&order.kind);
         }
         OrderReply::Accepted
     }
 
-    fn carry_out(&mut self, kind: &OrderKind) {
+    fn execute(&mut self, kind: &OrderKind) {
         match kind {
             OrderKind::Load { model, .. } if !self.state.has_model(model) => {
                 self.state.loaded.push(model.clone());
--- a/crates/sequoiawing_bench/tests/shares/world.rs
+++ b/crates/sequoiawing_bench/tests/shares/simulation.rs
@@ -1,5 +1,5 @@
-//! Three data centres with their cells, placers and runners, and the tables
-//! that the log would make, under virtual time.
+//! Simulates three data centres with their cells, placers and runners, and the
+//! tables of the log, in virtual time.
 
 use crate::{
     network::{Packet, Payload},
@@ -22,26 +22,27 @@
 /// A pool and one of its models.
 pub(crate) type Target = (Name, Name);
 
-/// A fault that the checker must catch.
+/// An injected fault that the checker must detect.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) enum Planted {
-    /// The code as it is.
+pub(crate) enum InjectedFault {
+    /// No fault.
     #[default]
     None,
-    /// The log is told of a release that the cell does not remember, so that
-    /// its next leader uses the share again.
-    ReleaseUnrecorded,
-    /// The log grants what is not released yet.
+    /// A release is reported to the log before the cell has recorded it, so
+    /// that the cell's next leader uses the released share again.
+    UnrecordedRelease,
+    /// The log grants replicas that are not released yet.
     EarlyGrant,
-    /// A new leader uses what it once saw, whatever the others remember.
-    OldMemory,
+    /// A new leader uses the counts from before its restart, ignoring the
+    /// shares that its cell recorded.
+    StaleShares,
 }
 
 pub(crate) const STEP: Duration = Duration::from_millis(20);
 
 pub(crate) const CENTRES: usize = 3;
 
-pub(crate) const HOSTS: usize = 3;
+pub(crate) const HOSTS_PER_CENTRE: usize = 3;
 
 pub(crate) const MODELS: u32 = 4;
 
@@ -49,30 +50,32 @@
     pub(crate) is_alive: bool,
     pub(crate) cell: Cell,
     pub(crate) placer: Placer,
-    /// The tables that it follows; older than the log's while it is cut off.
+    /// The host's copy of the tables; out of date while it is disconnected.
     tables: Tables,
-    inherited: u64,
-    seed: u64,
+    inherited_term: u64,
+    order_base: u64,
     pub(crate) serial: u64,
-    /// What it had its cell remember last, for a planted fault.
+    /// The counts last recorded in the cell, for
+    /// [`InjectedFault::UnrecordedRelease`].
     recorded: BTreeMap<Target, u32>,
-    /// What an earlier start of it saw last, for a planted fault.
-    old: BTreeMap<Target, u32>,
+    /// The allotments before the last restart, for
+    /// [`InjectedFault::StaleShares`].
+    stale_counts: BTreeMap<Target, u32>,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) now: Time,
     pub(crate) hosts: Vec<Host>,
-    pub(crate) cut: [bool; CENTRES],
+    pub(crate) disconnected: [bool; CENTRES],
     pub(crate) log: Tables,
     pub(crate) loads: u32,
-    /// The loads of data centres that were cut off.
-    pub(crate) cut_loads: u32,
+    /// The loads in disconnected data centres.
+    pub(crate) disconnected_loads: u32,
     pub(crate) runners: Vec<Runner>,
     pub(crate) packets: Vec<Packet>,
-    pub(crate) planted: Planted,
+    pub(crate) injected: InjectedFault,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) former: BTreeMap<Target, u32>,
+    pub(crate) last_bounds: BTreeMap<Target, u32>,
 }
 
 pub(crate) fn pool() -> Name {
@@ -91,64 +94,66 @@
     Name::from(format!("host-{i}"))
 }
 
-impl World {
-    pub(crate) fn new(rng: ChaCha8Rng, planted: Planted) -> Self {
-        let mut world = Self {
+impl Simulation {
+    pub(crate) fn new(rng: ChaCha8Rng, injected: InjectedFault) -> Self {
+        let mut simulation = Self {
             now: Time::from_millis(1),
             hosts: Vec::new(),
-            cut: [false; CENTRES],
+            disconnected: [false; CENTRES],
             log: Tables::default(),
             loads: 0,
-            cut_loads: 0,
+            disconnected_loads: 0,
             runners: Vec::new(),
             packets: Vec::new(),
-            planted,
+            injected,
             rng,
-            former: BTreeMap::new(),
+            last_bounds: BTreeMap::new(),
         };
         for model in 0..MODELS {
-            world.set_replicas(model, 1 + model % 3);
+            simulation.set_replicas(model, 1 + model % 3);
         }
-        for i in 0..CENTRES * HOSTS {
-            let host = world.host(i);
-            world.hosts.push(host);
-            world.runners.push(Runner::new(i, centre(i / HOSTS)));
+        for i in 0..CENTRES * HOSTS_PER_CENTRE {
+            let host = simulation.host(i);
+            simulation.hosts.push(host);
+            simulation
+                .runners
+                .push(Runner::new(i, centre(i / HOSTS_PER_CENTRE)));
         }
-        world
+        simulation
     }
 
     fn host(&self, i: usize) -> Host {
         let floor = self.now.as_micros() / 1_000;
         let settings = PlaceSettings {
-            centre: centre(i / HOSTS),
+            centre: centre(i / HOSTS_PER_CENTRE),
             load_slots: 100,
             load_rate: 1_000.0,
             order_lifetime: Duration::from_millis(200),
             min_residency: Duration::from_millis(200),
             ..PlaceSettings::default()
         };
-        let idle = FixedKeepAlive::new(Duration::from_millis(800));
+        let keep_alive = FixedKeepAlive::new(Duration::from_millis(800));
         Host {
             is_alive: true,
             cell: Cell::new(name(i), CellSettings::default(), self.now, floor),
-            placer: Placer::new(settings).with_keep_alive(Box::new(idle)),
+            placer: Placer::new(settings).with_keep_alive(Box::new(keep_alive)),
             tables: Tables::default(),
-            inherited: 0,
-            seed: self.now.as_micros(),
+            inherited_term: 0,
+            order_base: self.now.as_micros(),
             serial: 0,
             recorded: BTreeMap::new(),
-            old: BTreeMap::new(),
+            stale_counts: BTreeMap::new(),
         }
     }
 
-    /// Starts a host again without memory. The tables that its neighbours give
-    /// it are those that it had.
+    /// Restarts a host without its state. It keeps its tables, as if its
+    /// neighbours had sent them.
     pub(crate) fn restart(&mut self, i: usize) {
-        let old = self.hosts[i].placer.allotments();
-        let mut fresh = self.host(i);
-        fresh.tables = self.hosts[i].tables.clone();
-        fresh.old = old;
-        self.hosts[i] = fresh;
+        let stale_counts = self.hosts[i].placer.allotments();
+        let mut restarted = self.host(i);
+        restarted.tables = self.hosts[i].tables.clone();
+        restarted.stale_counts = stale_counts;
+        self.hosts[i] = restarted;
         self.configure(i);
     }
 
@@ -174,14 +179,14 @@
         assert!(matches!(outcome, Outcome::Accepted(_)), "{outcome:?}");
     }
 
-    /// Adds a host to its cell, or removes it, if the cell has settled.
-    pub(crate) fn change(&mut self, i: usize, is_joining: bool) {
-        let centre = centre(i / HOSTS);
+    /// Adds a host to its cell or removes it. Keeps the last member of a cell.
+    pub(crate) fn change_membership(&mut self, i: usize, is_joining: bool) {
+        let centre = centre(i / HOSTS_PER_CENTRE);
         let last = self.log.members(&centre).count() == 1;
         if !is_joining && last {
             return;
         }
-        let port = u16::try_from(1 + i).expect("there are few hosts");
+        let port = u16::try_from(1 + i).expect("the host index fits into a port");
         let command = if is_joining {
             Command::Join(RouterHost {
                 host: name(i),
@@ -198,9 +203,9 @@
         self.log.apply(command);
     }
 
-    /// Lets a host follow the log.
-    pub(crate) fn publish(&mut self, i: usize) {
-        if self.cut[i / HOSTS] || !self.hosts[i].is_alive {
+    /// Updates a host's tables from the log, if it is alive and connected.
+    pub(crate) fn sync_tables(&mut self, i: usize) {
+        if self.disconnected[i / HOSTS_PER_CENTRE] || !self.hosts[i].is_alive {
             return;
         }
         self.hosts[i].tables = self.log.published();
@@ -209,17 +214,17 @@
 
     fn configure(&mut self, i: usize) {
         let tables = self.hosts[i].tables.clone();
-        let own = centre(i / HOSTS);
+        let own = centre(i / HOSTS_PER_CENTRE);
         let members = tables.members(&own).map(|h| h.host.clone()).collect();
         let epoch = tables.cell(&own).epoch;
         self.cell_event(i, CellEvent::Members { epoch, members });
         let pools = tables.pools.values().cloned().collect();
-        self.place(i, PlaceEvent::Configured { pools });
+        self.notify_placer(i, PlaceEvent::Configured { pools });
         let centres = tables.hosts.values().map(|h| h.centre.clone()).collect();
-        self.place(i, PlaceEvent::Centres { centres });
+        self.notify_placer(i, PlaceEvent::Centres { centres });
     }
 
-    /// Tells a leader what callers want.
+    /// Sends a demand to a host, if it leads its data centre.
     pub(crate) fn demand(&mut self, i: usize, model: u32) {
         let demand = Demand {
             host: name(i),
@@ -235,7 +240,7 @@
         if host.is_alive && host.cell.lease(self.now).is_some() {
             host.placer.demand(self.now, &demand, &mut out);
         }
-        self.act(i, out);
+        self.execute_actions(i, out);
     }
 
     pub(crate) fn step(&mut self) {
@@ -250,66 +255,63 @@
         for i in 0..self.hosts.len() {
             if self.hosts[i].is_alive {
                 self.cell_event(i, CellEvent::Tick);
-                self.refresh(i);
+                self.update_placer(i);
             }
         }
     }
 
-    /// Does what the router's placement does at each interval.
-    fn refresh(&mut self, i: usize) {
+    /// Updates the placer with announcements, the lease and the recorded
+    /// shares, as the router does at each interval.
+    fn update_placer(&mut self, i: usize) {
         let now = self.now;
-        let of_centre = i / HOSTS;
-        for runner in of_centre * HOSTS..(of_centre + 1) * HOSTS {
+        let centre_index = i / HOSTS_PER_CENTRE;
+        for runner in centre_index * HOSTS_PER_CENTRE..(centre_index + 1) * HOSTS_PER_CENTRE {
             self.runners[runner].state.sequence += 1;
             let state = self.runners[runner].state.clone();
-            self.place(i, PlaceEvent::Announced(state.into()));
+            self.notify_placer(i, PlaceEvent::Announced(state.into()));
         }
         let host = &self.hosts[i];
-        let leading = host.cell.lease(now).map(|l| Leadership {
+        let leadership = host.cell.lease(now).map(|l| Leadership {
             term: l.term,
-            order_base: host.seed,
+            order_base: host.order_base,
             order_grace: Duration::from_millis(200),
             discovery_wait: Duration::ZERO,
         });
-        let term = leading.map_or(0, |l| l.term);
-        self.place(
-            i,
-            PlaceEvent::LeadershipChanged {
-                leadership: leading,
-            },
-        );
+        let term = leadership.map_or(0, |l| l.term);
+        self.notify_placer(i, PlaceEvent::LeadershipChanged { leadership });
         let host = &mut self.hosts[i];
-        let shares = host.cell.shares(now).filter(|_| term > host.inherited);
+        let shares = host.cell.shares(now).filter(|_| term > host.inherited_term);
         let shares = shares.map(|r| r.counts.clone());
         let shares = shares.map(|c| {
             c.into_iter()
                 .map(|c| ((c.pool, c.model), c.count))
                 .collect()
         });
-        let old = || Some(host.old.clone()).filter(|_| term > host.inherited);
-        let shares = match self.planted {
-            Planted::OldMemory => old(),
+        let stale_counts =
+            || Some(host.stale_counts.clone()).filter(|_| term > host.inherited_term);
+        let shares = match self.injected {
+            InjectedFault::StaleShares => stale_counts(),
             _ => shares,
         };
         let recorded = host.cell.recorded(now).filter(|v| v.term == term);
         if let Some(counts) = shares {
-            host.inherited = term;
-            self.place(i, PlaceEvent::Inherited { counts });
+            host.inherited_term = term;
+            self.notify_placer(i, PlaceEvent::Inherited { counts });
         }
         if let Some(version) = recorded {
             let number = version.number;
-            self.place(i, PlaceEvent::Recorded { number });
+            self.notify_placer(i, PlaceEvent::Recorded { number });
         }
-        self.place(i, PlaceEvent::Tick);
+        self.notify_placer(i, PlaceEvent::Tick);
     }
 
-    pub(crate) fn place(&mut self, i: usize, event: PlaceEvent) {
+    pub(crate) fn notify_placer(&mut self, i: usize, event: PlaceEvent) {
         let mut out = Vec::new();
         self.hosts[i].placer.handle(self.now, event, &mut out);
-        self.act(i, out);
+        self.execute_actions(i, out);
     }
 
-    fn act(&mut self, i: usize, actions: Vec<PlaceAction>) {
+    fn execute_actions(&mut self, i: usize, actions: Vec<PlaceAction>) {
         for action in actions {
             let lease = self.hosts[i].cell.lease(self.now);
             let Some(lease) = lease.filter(|_| self.hosts[i].is_alive) else {
@@ -318,7 +320,7 @@
             match action {
                 PlaceAction::Send { upstream, order } => {
                     if order.fence == lease.term {
-                        self.order(i, &upstream, &order);
+                        self.send_order(i, &upstream, &order);
                     }
                 }
                 PlaceAction::Allot { pool, model, want } => {
@@ -342,8 +344,8 @@
         let host = &mut self.hosts[i];
         let shrinks = |(target, former): (&Target, &u32)| counts.get(target) < Some(former);
         let has_release = host.recorded.iter().any(shrinks);
-        if self.planted == Planted::ReleaseUnrecorded && has_release {
-            return self.place(i, PlaceEvent::Recorded { number });
+        if self.injected == InjectedFault::UnrecordedRelease && has_release {
+            return self.notify_placer(i, PlaceEvent::Recorded { number });
         }
         host.recorded.clone_from(&counts);
         let counts = counts.into_iter();
@@ -355,24 +357,24 @@
         self.cell_event(i, event);
     }
 
-    fn order(&mut self, i: usize, upstream: &Name, order: &Order) {
+    fn send_order(&mut self, i: usize, upstream: &Name, order: &Order) {
         let runner = self.runners.iter_mut().find(|r| r.state.name == *upstream);
         let runner = runner.expect("orders go to known runners");
         let id = order.id;
         let before = runner.state.loaded.len();
-        let reply = Some(runner.take(order));
+        let reply = Some(runner.handle_order(order));
         if runner.state.loaded.len() > before {
             self.loads += 1;
-            self.cut_loads += u32::from(self.cut[i / HOSTS]);
+            self.disconnected_loads += u32::from(self.disconnected[i / HOSTS_PER_CENTRE]);
         }
-        self.place(i, PlaceEvent::Replied { id, reply });
+        self.notify_placer(i, PlaceEvent::Replied { id, reply });
     }
 
     pub(crate) fn cell_event(&mut self, i: usize, event: CellEvent) {
         self.cell_event_from(i, event, i);
     }
 
-    pub(crate) fn cell_event_from(&mut self, i: usize, event: CellEvent, asker: usize) {
+    pub(crate) fn cell_event_from(&mut self, i: usize, event: CellEvent, requester: usize) {
         let mut out = Vec::new();
         self.hosts[i].cell.handle(self.now, event, &mut out);
         for action in out {
@@ -383,10 +385,10 @@
                         self.send(i, to, Payload::Request(request), 20);
                     }
                 }
-                CellAction::Reply(reply) => self.send(i, asker, Payload::Reply(reply), 20),
+                CellAction::Reply(reply) => self.send(i, requester, Payload::Reply(reply), 20),
                 CellAction::Settled { epoch } => {
-                    if !self.cut[i / HOSTS] {
-                        let centre = centre(i / HOSTS);
+                    if !self.disconnected[i / HOSTS_PER_CENTRE] {
+                        let centre = centre(i / HOSTS_PER_CENTRE);
                         self.log.apply(Command::SettleCell { centre, epoch });
                     }
                 }
