--- a/tests/requests/callers.rs
+++ b/tests/requests/callers.rs
@@ -1,8 +1,8 @@
-//! What routers take from callers, and what they refuse.
+//! Tests of what routers accept from callers and what they refuse.
 
 use crate::{
     cases,
-    fleet::{Fleet, PATIENCE, Setup, wait_until},
+    fleet::{Fleet, Setup, TIMEOUT, wait_until},
 };
 use hyper::Method;
 use sequoiawing::{
@@ -25,7 +25,7 @@
     .await
 }
 
-/// Starts a router with settings of its own and one service.
+/// Starts a router with the given settings and one service.
 async fn start_with(settings: RouterSettings) -> Fleet {
     Fleet::start(Setup {
         services: 1,
@@ -39,9 +39,11 @@
 }
 
 /// Sends raw bytes and reads until the connection is closed.
-fn talk(to: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).expect("the router listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("it is set");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the timeout is set");
     stream.write_all(bytes).expect("the bytes are sent");
     let mut text = String::new();
     stream.read_to_string(&mut text).ok();
@@ -51,23 +53,23 @@
 cases! {
     a_request_id_is_echoed_and_forwarded {
         let fleet = start().await;
-        let answer = fleet.call("/grant").with_header("x-request-id", "strip-42").send().await;
-        assert_eq!(answer.headers["x-request-id"], "strip-42");
+        let response = fleet.call("/grant").with_header("x-request-id", "strip-42").send().await;
+        assert_eq!(response.headers["x-request-id"], "strip-42");
         let seen = fleet.services[0].seen();
         assert!(seen[0].contains("strip-42"), "{seen:?}");
     }
 
     a_request_without_an_id_is_given_one {
         let fleet = start().await;
-        let answer = fleet.call("/grant").send().await;
-        let id = answer.headers["x-request-id"].to_str().expect("it is text").to_owned();
+        let response = fleet.call("/grant").send().await;
+        let id = response.headers["x-request-id"].to_str().expect("the value is valid text").to_owned();
         assert_eq!(id.len(), 32);
         assert!(fleet.services[0].seen()[0].contains(&id));
         let refused = fleet.call("/nowhere").with_header("x-request-id", "a b").send().await;
         assert_ne!(refused.headers["x-request-id"], "a b");
     }
 
-    refusals_name_code_and_place {
+    refusals_name_the_code_and_the_cause {
         let fleet = start().await;
         let completion = || fleet.completion("/v1/completions", 1);
         let with = |body: &str| completion().with_body(body.to_owned());
@@ -88,26 +90,26 @@
             (deadline("3600001"), 400, "bad_request", "sequoiawing-deadline-ms"),
             (deadline("99999999999999999999"), 400, "bad_request", "sequoiawing-deadline-ms"),
         ];
-        for (call, status, code, place) in calls {
-            let answer = call.clone().send().await;
-            assert_eq!(answer.status, status, "{call:?}: {:?}", answer.body);
-            assert_eq!(answer.code(), code, "{call:?}");
-            assert_eq!(answer.ran(), "no", "{call:?}");
-            assert!(answer.text().contains(place), "{call:?}: {}", answer.text());
+        for (call, status, code, cause) in calls {
+            let response = call.clone().send().await;
+            assert_eq!(response.status, status, "{call:?}: {:?}", response.body);
+            assert_eq!(response.code(), code, "{call:?}");
+            assert_eq!(response.ran(), "no", "{call:?}");
+            assert!(response.text().contains(cause), "{call:?}: {}", response.text());
         }
         assert!(fleet.engines[0].seen().is_empty());
     }
 
-    a_chat_is_streamed_and_answered_whole {
+    a_chat_is_answered_with_and_without_streaming {
         let fleet = start().await;
         let body = r#"{"model":"caption","messages":[{"role":"user","content":"a strip"}],
             "max_completion_tokens":3,"stream":true}"#;
         let streamed = fleet.call("/v1/chat/completions").with_body(body).send().await;
         assert_eq!(streamed.text().matches(r#""delta":{"content":"w"#).count(), 3);
         assert!(streamed.text().ends_with("data: [DONE]\n\n"));
-        let whole = fleet.call("/v1/chat/completions").with_body(body.replace("true", "false"));
-        let whole = whole.send().await;
-        assert!(whole.text().contains(r#""content":"w0 w1 w2""#), "{}", whole.text());
+        let unstreamed = fleet.call("/v1/chat/completions").with_body(body.replace("true", "false"));
+        let unstreamed = unstreamed.send().await;
+        assert!(unstreamed.text().contains(r#""content":"w0 w1 w2""#), "{}", unstreamed.text());
     }
 
     services_answer_every_method_and_are_found_by_host {
@@ -125,8 +127,8 @@
 
     a_body_above_the_bound_is_refused {
         let fleet = start_with(RouterSettings { body: 1_000, ..RouterSettings::default() }).await;
-        let answer = fleet.call("/grant").with_body("x".repeat(1_001)).send().await;
-        assert_eq!((answer.status.as_u16(), answer.code().as_str()), (413, "body_too_large"));
+        let response = fleet.call("/grant").with_body("x".repeat(1_001)).send().await;
+        assert_eq!((response.status.as_u16(), response.code().as_str()), (413, "body_too_large"));
         assert_eq!(fleet.call("/grant").with_body("x".repeat(1_000)).send().await.status, 200);
         assert_eq!(fleet.runs(), 1);
     }
@@ -140,9 +142,9 @@
             fleet.key.reveal(),
         ).into_bytes();
         request.resize(request.len() + length, b'x');
-        let answer = talk(fleet.routers[0].callers(), &request);
-        assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
-        assert!(answer.contains("\"code\":\"body_too_large\""), "{answer}");
+        let response = send_raw(fleet.routers[0].callers(), &request);
+        assert!(response.starts_with("HTTP/1.1 413"), "{response}");
+        assert!(response.contains("\"code\":\"body_too_large\""), "{response}");
     }
 
     a_body_that_stops_half_way_is_refused {
@@ -152,20 +154,20 @@
             "POST /grant HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n\
              Content-Length: 10\r\n\r\nhalf"
         );
-        let answer = talk(fleet.routers[0].callers(), request.as_bytes());
-        assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-        assert!(answer.contains("\"code\":\"body_timeout\""), "{answer}");
-        assert!(answer.contains("\"ran\":\"no\""), "{answer}");
+        let response = send_raw(fleet.routers[0].callers(), request.as_bytes());
+        assert!(response.starts_with("HTTP/1.1 408"), "{response}");
+        assert!(response.contains("\"code\":\"body_timeout\""), "{response}");
+        assert!(response.contains("\"ran\":\"no\""), "{response}");
         assert_eq!(fleet.runs(), 0);
     }
 
     headers_above_the_bound_are_refused {
         let fleet = start().await;
         let head = format!("GET /look HTTP/1.1\r\nHost: x\r\nX: {}\r\n\r\n", "x".repeat(40_000));
-        let answer = talk(fleet.routers[0].callers(), head.as_bytes());
-        assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
-        assert!(answer.contains("\"code\":\"headers_too_large\""), "{answer}");
-        assert!(answer.contains("sequoiawing-ran: no"), "{answer}");
+        let response = send_raw(fleet.routers[0].callers(), head.as_bytes());
+        assert!(response.starts_with("HTTP/1.1 431"), "{response}");
+        assert!(response.contains("\"code\":\"headers_too_large\""), "{response}");
+        assert!(response.contains("sequoiawing-ran: no"), "{response}");
         assert_eq!(fleet.runs(), 0);
     }
 
@@ -177,54 +179,55 @@
             fleet.key.reveal(),
         );
         for bad in ["\x16\x03\x01\x02\r\n\r\n", "GET /look\r\n\r\n", "GET / HTTP/1.1\r\nx y\r\n\r\n"] {
-            let answer = talk(to, bad.as_bytes());
-            assert!(answer.starts_with("HTTP/1.1 400"), "{bad:?}: {answer}");
-            assert!(answer.contains("\"code\":\"bad_request\""), "{bad:?}: {answer}");
-            assert!(answer.contains("\"ran\":\"no\""), "{bad:?}: {answer}");
+            let response = send_raw(to, bad.as_bytes());
+            assert!(response.starts_with("HTTP/1.1 400"), "{bad:?}: {response}");
+            assert!(response.contains("\"code\":\"bad_request\""), "{bad:?}: {response}");
+            assert!(response.contains("\"ran\":\"no\""), "{bad:?}: {response}");
         }
-        // Behind an answer that the caller has read, too.
+        // The same applies to invalid bytes that follow a valid request on the same
+        // connection.
         let mut stream = TcpStream::connect(to).expect("the router listens");
-        stream.write_all(good.as_bytes()).expect("it is sent");
+        stream.write_all(good.as_bytes()).expect("the bytes are sent");
         let mut first = Vec::new();
         while !first.ends_with(b"done: ") {
             let mut byte = [0];
-            stream.read_exact(&mut byte).expect("it is answered");
+            stream.read_exact(&mut byte).expect("the request is answered");
             first.push(byte[0]);
         }
-        stream.write_all(b"rubbish\r\n\r\n").expect("it is sent");
+        stream.write_all(b"rubbish\r\n\r\n").expect("the bytes are sent");
         let mut rest = String::new();
-        stream.read_to_string(&mut rest).expect("it is text");
+        stream.read_to_string(&mut rest).expect("the value is valid text");
         assert!(rest.contains("HTTP/1.1 400"), "{rest}");
         assert!(rest.contains("\"code\":\"bad_request\""), "{rest}");
         assert_eq!(fleet.runs(), 1);
     }
 
-    headers_that_never_end_are_cut_off {
+    headers_that_never_end_time_out {
         let settings = RouterSettings { header_wait: 200, ..RouterSettings::default() };
         let fleet = start_with(settings).await;
         let clock = Clock::start();
-        talk(fleet.routers[0].callers(), b"GET /look HTTP/1.1\r\nHost: x\r\n");
-        assert!(clock.elapsed() < PATIENCE);
+        send_raw(fleet.routers[0].callers(), b"GET /look HTTP/1.1\r\nHost: x\r\n");
+        assert!(clock.elapsed() < TIMEOUT);
         assert_eq!(fleet.runs(), 0);
     }
 
-    one_connection_too_many_is_told_so {
+    a_connection_above_the_limit_is_refused {
         let settings = RouterSettings { connections: 2, ..RouterSettings::default() };
         let fleet = start_with(settings).await;
         let to = fleet.routers[0].callers();
-        let held: Vec<TcpStream> = (0..2)
+        let open_connections: Vec<TcpStream> = (0..2)
             .map(|_| TcpStream::connect(to).expect("the router listens"))
             .collect();
-        let answer = talk(to, b"GET /look HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-        assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-        assert!(answer.contains("\"code\":\"overloaded\""), "{answer}");
-        assert!(answer.contains("retry-after: 1"), "{answer}");
-        drop(held);
+        let response = send_raw(to, b"GET /look HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+        assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+        assert!(response.contains("\"code\":\"overloaded\""), "{response}");
+        assert!(response.contains("retry-after: 1"), "{response}");
+        drop(open_connections);
         let served = || async { fleet.call("/look").send().await.status == 200 };
         wait_until("the connections are free", served).await;
     }
 
-    a_caller_that_takes_nothing_loses_its_answer_and_frees_the_slot {
+    a_caller_that_does_not_read_is_disconnected_and_frees_the_slot {
         let fleet = Fleet::start(Setup {
             engines: 1,
             settings: RouterSettings {
@@ -236,14 +239,14 @@
                 load: 20,
                 first: 0,
                 gap: 0,
-                // Large events fill all buffers soon, also on a busy machine.
+                // Large events fill all buffers quickly, also on a busy machine.
                 padding: 16 * 1_024,
                 interval: 50,
                 ..EngineSettings::default()
             },
             ..Setup::default()
         }).await;
-        fleet.warm().await;
+        fleet.load_model().await;
         let body = r#"{"model":"caption","prompt":"p","max_tokens":1000000,"stream":true}"#;
         let request = format!(
             "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n\
@@ -251,14 +254,14 @@
             fleet.key.reveal(),
             body.len(),
         );
-        let mut stream = TcpStream::connect(fleet.routers[0].callers()).expect("it listens");
-        stream.write_all(request.as_bytes()).expect("it is sent");
-        wait_until("it runs", || std::future::ready(fleet.engines[0].running() == 1)).await;
+        let mut stream = TcpStream::connect(fleet.routers[0].callers()).expect("the router listens");
+        stream.write_all(request.as_bytes()).expect("the bytes are sent");
+        wait_until("the request runs", || std::future::ready(fleet.engines[0].running() == 1)).await;
         wait_until("the slot is free", || std::future::ready(fleet.engines[0].running() == 0)).await;
-        wait_until("it is closed", || async { fleet.status(0).await.open == 0 }).await;
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).ok();
-        assert!(!answer.ends_with(b"[DONE]\n\n\r\n0\r\n\r\n"), "it is not whole");
+        wait_until("the request is closed", || async { fleet.status(0).await.open == 0 }).await;
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).ok();
+        assert!(!response.ends_with(b"[DONE]\n\n\r\n0\r\n\r\n"), "the response is complete");
     }
 
     a_deadline_is_kept_while_waiting_and_for_the_first_byte {
@@ -284,13 +287,13 @@
 
     a_caller_that_leaves_cancels_its_work_and_frees_the_slot {
         let fleet = start().await;
-        fleet.warm().await;
+        fleet.load_model().await;
         let call = spawn(fleet.completion("/v1/completions", 900_000).begin());
-        wait_until("it runs", || std::future::ready(fleet.engines[0].running() == 1)).await;
-        let answer = call.await;
+        wait_until("the request runs", || std::future::ready(fleet.engines[0].running() == 1)).await;
+        let response = call.await;
         assert_eq!(fleet.status(0).await.open, 1);
-        drop(answer);
-        wait_until("it ends", || std::future::ready(fleet.engines[0].running() == 0)).await;
-        wait_until("it is closed", || async { fleet.status(0).await.open == 0 }).await;
+        drop(response);
+        wait_until("the request ends", || std::future::ready(fleet.engines[0].running() == 0)).await;
+        wait_until("the request is closed", || async { fleet.status(0).await.open == 0 }).await;
     }
 }
--- a/tests/requests/fleet.rs
+++ b/tests/requests/fleet.rs
@@ -24,24 +24,25 @@
 
 const SECRET: &str = "secret-of-the-tests";
 
-/// How long anything may take before a test gives up.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a test waits for a condition before it fails.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-/// What a test wants of its deployment.
+/// The configuration of a deployment.
 pub(crate) struct Setup<'p> {
     pub(crate) engines: usize,
     pub(crate) services: usize,
-    /// The plugins of each router, whose number they set.
+    /// The plugin of each router; the length sets the number of routers.
     pub(crate) routers: Vec<Option<&'p dyn Plugin>>,
     pub(crate) settings: RouterSettings,
     pub(crate) engine: EngineSettings,
     pub(crate) service: ServiceSettings,
 }
 
-/// Returns settings of routers that soon take a silent upstream for stalled.
-pub(crate) fn impatient() -> RouterSettings {
+/// Returns router settings with a short stall timeout, after which a silent
+/// upstream counts as stalled.
+pub(crate) fn short_stall() -> RouterSettings {
     RouterSettings {
         stall: 300,
         farewell: 0,
@@ -89,9 +90,9 @@
 }
 
 impl Fleet {
-    /// Starts a deployment and waits until its parts have found each other.
+    /// Starts a deployment and waits until its processes have discovered each other.
     pub(crate) async fn start(setup: Setup<'_>) -> Self {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let folder = format!("sequoiawing-requests-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
         std::fs::remove_dir_all(&folder).ok();
@@ -116,7 +117,7 @@
             routers.push(router.expect("the router starts"));
         }
         let operator = operator(&controller, &routers);
-        let key = set_up(&operator).await;
+        let key = apply_tables(&operator).await;
         let upstreams: Vec<SocketAddr> = routers.iter().map(Router::upstreams).collect();
         let mut fleet = Self {
             controller: Some(controller),
@@ -166,8 +167,8 @@
 
     async fn wait_for_key(&self) {
         for router in &self.routers {
-            let known = || router.state().tables.get().keys.contains_key(&self.key.id);
-            wait_until("the key is known", || std::future::ready(known())).await;
+            let is_known = || router.state().tables.get().keys.contains_key(&self.key.id);
+            wait_until("the key is known", || std::future::ready(is_known())).await;
         }
     }
 
@@ -189,17 +190,17 @@
         }
     }
 
-    /// Returns what a router reports of itself.
+    /// Returns a router's status.
     pub(crate) async fn status(&self, router: usize) -> RouterStatus {
         let secret = Secret::from(SECRET);
         let stub: Stub<PeerClient> = Stub::new(self.routers[router].link(), secret);
-        let call = stub.call(PATIENCE, |client, context| async move {
+        let call = stub.call(TIMEOUT, |client, context| async move {
             client.status(context).await
         });
         call.await.expect("the router reports")
     }
 
-    /// Returns a call of a plain service, to be sent by [`Call::send`].
+    /// Returns a call to a plain service, to be sent by [`Call::send`].
     pub(crate) fn call(&self, path: &str) -> Call {
         Call {
             to: self.routers[0].callers(),
@@ -220,19 +221,19 @@
         self.call(path).with_body(body.to_string())
     }
 
-    /// Loads the model everywhere by asking for it.
-    pub(crate) async fn warm(&self) {
+    /// Loads the model by requesting it through each router.
+    pub(crate) async fn load_model(&self) {
         for i in 0..self.routers.len() {
-            let answer = self
+            let response = self
                 .completion("/v1/completions", 1)
                 .to(self, i)
                 .send()
                 .await;
-            assert_eq!(answer.status, 200, "{:?}", answer.body);
+            assert_eq!(response.status, 200, "{:?}", response.body);
         }
     }
 
-    /// Returns the calls that all services ran.
+    /// Returns the number of calls that the services have run.
     pub(crate) fn runs(&self) -> usize {
         self.services.iter().map(|s| s.calls().len()).sum()
     }
@@ -252,12 +253,12 @@
 {
     let clock = Clock::start();
     while !condition().await {
-        assert!(clock.elapsed() < PATIENCE, "timed out before {what}");
+        assert!(clock.elapsed() < TIMEOUT, "timed out before {what}");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A request on its way to a router.
+/// A request to a router.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     to: SocketAddr,
@@ -267,31 +268,31 @@
     body: Bytes,
 }
 
-/// An answer as a caller sees it.
+/// A response as a caller sees it.
 #[derive(Debug)]
-pub(crate) struct Seen {
+pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// The whole body, or why it is not whole.
+    /// The complete body, or the error that ended it.
     pub(crate) body: Result<String, String>,
 }
 
-impl Seen {
+impl Response {
     /// Returns the code of a refusal.
     pub(crate) fn code(&self) -> String {
         let error = self.error();
         error["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Returns what a refusal says of whether the request ran.
+    /// Returns the value of the header that says whether the request ran.
     pub(crate) fn ran(&self) -> String {
         let ran = self.headers.get("sequoiawing-ran");
-        let ran = ran.map(|v| v.to_str().expect("it is text"));
+        let ran = ran.map(|v| v.to_str().expect("the value is valid text"));
         ran.unwrap_or_default().to_owned()
     }
 
     pub(crate) fn text(&self) -> &str {
-        self.body.as_deref().expect("the body is whole")
+        self.body.as_deref().expect("the body is complete")
     }
 
     fn error(&self) -> Value {
@@ -330,7 +331,7 @@
         self
     }
 
-    /// Sends the call and waits for the head of the answer.
+    /// Sends the call and waits for the head of the response.
     pub(crate) async fn begin(self) -> hyper::Response<ClientBody> {
         let mut request = Request::builder().method(self.method).uri(self.path);
         if !self.headers.iter().any(|(name, _)| name == "host") {
@@ -339,20 +340,22 @@
         for (name, value) in self.headers {
             request = request.header(name, value);
         }
-        let request = request.body(from_bytes(self.body)).expect("it is sound");
-        let client = Client::new(PATIENCE);
-        let answer = client.send_anew(self.to, request).await;
-        answer.expect("the router answers")
+        let request = request
+            .body(from_bytes(self.body))
+            .expect("the request is valid");
+        let client = Client::new(TIMEOUT);
+        let response = client.send_anew(self.to, request).await;
+        response.expect("the router answers")
     }
 
-    /// Sends the call and reads the whole answer.
-    pub(crate) async fn send(self) -> Seen {
+    /// Sends the call and reads the complete response.
+    pub(crate) async fn send(self) -> Response {
         let (parts, body) = self.begin().await.into_parts();
         let body = body.collect().await.map_err(|e| e.to_string());
         let text = |b: http_body_util::Collected<Bytes>| {
-            String::from_utf8(b.to_bytes().to_vec()).expect("it is text")
+            String::from_utf8(b.to_bytes().to_vec()).expect("the value is valid text")
         };
-        Seen {
+        Response {
             status: parts.status,
             headers: parts.headers,
             body: body.map(text),
@@ -376,16 +379,17 @@
     })
 }
 
-/// Enters the tables, again when routers that join their cell were faster.
-async fn set_up(operator: &Operator) -> BearerKey {
-    let file: TableFile = serde_json::from_value(tables()).expect("the tables are sound");
+/// Applies the tables and retries on conflicts with routers that join their cell
+/// at the same time.
+async fn apply_tables(operator: &Operator) -> BearerKey {
+    let file: TableFile = serde_json::from_value(tables()).expect("the tables are valid");
     loop {
         let tables = operator.read().await.expect("the controller answers");
         let changes = file.changes_from(&tables, false);
         match operator.edit(Some(tables.revision), changes).await {
             Ok(_) => break,
             Err(CtlError::Conflict { .. }) => {}
-            Err(error) => panic!("the tables are not accepted: {error}"),
+            Err(error) => panic!("the tables were not accepted: {error}"),
         }
     }
     operator.grant_key("daily").await.expect("a key is granted")
--- a/tests/requests/idempotency.rs
+++ b/tests/requests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Calls that run at most once, whatever happens to their hosts.
+//! Tests that calls with an idempotency key run at most once, also when hosts
+//! fail.
 
 use crate::{
     cases,
@@ -18,63 +19,63 @@
     time::Duration,
 };
 
-/// Where a host stops for ever, as one that was killed does.
+/// The point at which a host hangs forever, which simulates a killed host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Stop {
+enum HangPoint {
     BeforeSend,
     BeforeRecord,
 }
 
-/// Stops a host behind its claim, and says when it has.
+/// A plugin that hangs a request after its claim and records that it has.
 #[derive(Clone)]
-struct StopAt(Stop, Arc<AtomicBool>);
+struct HangAt(HangPoint, Arc<AtomicBool>);
 
-impl StopAt {
-    fn new(stop: Stop) -> Self {
-        Self(stop, Arc::default())
+impl HangAt {
+    fn new(point: HangPoint) -> Self {
+        Self(point, Arc::default())
     }
 
-    async fn stop<T>(&self) -> T {
+    async fn hang<T>(&self) -> T {
         self.1.store(true, Ordering::Relaxed);
         pending().await
     }
 
     async fn wait(&self) {
-        let stopped = || std::future::ready(self.1.load(Ordering::Relaxed));
-        wait_until("the host stops", stopped).await;
+        let is_hanging = || std::future::ready(self.1.load(Ordering::Relaxed));
+        wait_until("the host hangs", is_hanging).await;
     }
 }
 
-impl Filter for StopAt {
+impl Filter for HangAt {
     fn name(&self) -> &'static str {
         "stop-at"
     }
 
     fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
         Box::pin(async move {
-            if self.0 == Stop::BeforeSend {
-                return self.stop().await;
+            if self.0 == HangPoint::BeforeSend {
+                return self.hang().await;
             }
-            let answer = next.run(exchange).await;
-            if self.0 == Stop::BeforeRecord {
-                return self.stop().await;
+            let response = next.run(exchange).await;
+            if self.0 == HangPoint::BeforeRecord {
+                return self.hang().await;
             }
-            answer
+            response
         })
     }
 }
 
-impl Plugin for StopAt {
+impl Plugin for HangAt {
     fn build(&self, router: &mut RouterBuilder) {
         router.add_filter_before("limit", self.clone());
     }
 }
 
-async fn start(stop: Option<&StopAt>) -> Fleet {
-    let stop = stop.map(|s| s as &dyn Plugin);
+async fn start(hang: Option<&HangAt>) -> Fleet {
+    let hang = hang.map(|s| s as &dyn Plugin);
     Fleet::start(Setup {
         services: 1,
-        routers: vec![stop, None],
+        routers: vec![hang, None],
         ..Setup::default()
     })
     .await
@@ -87,7 +88,7 @@
 }
 
 cases! {
-    a_resend_to_another_host_gets_the_stored_answer {
+    a_resend_to_another_host_gets_the_stored_response {
         let fleet = start(None).await;
         let first = grant(&fleet).send().await;
         let second = grant(&fleet).to(&fleet, 1).send().await;
@@ -98,7 +99,7 @@
         assert_eq!(fleet.runs(), 1);
     }
 
-    a_key_on_another_request_is_refused {
+    an_idempotency_key_reused_for_another_request_is_refused {
         let fleet = start(None).await;
         grant(&fleet).send().await;
         let other = grant(&fleet).with_body("grant 8").to(&fleet, 1).send().await;
@@ -106,7 +107,7 @@
         assert_eq!(fleet.runs(), 1);
     }
 
-    a_resend_during_the_call_is_told_to_come_back {
+    a_resend_during_the_call_is_refused_as_in_progress {
         let fleet = Fleet::start(Setup {
             services: 1,
             routers: vec![None, None],
@@ -126,16 +127,16 @@
     }
 
     a_host_killed_between_claim_and_send_never_runs_the_call_later {
-        let stop = StopAt::new(Stop::BeforeSend);
-        let fleet = start(Some(&stop)).await;
+        let hang = HangAt::new(HangPoint::BeforeSend);
+        let fleet = start(Some(&hang)).await;
         spawn(grant(&fleet).begin()).detach();
-        stop.wait().await;
+        hang.wait().await;
         let resent = grant(&fleet).to(&fleet, 1).send().await;
         assert_eq!((resent.code().as_str(), resent.ran().as_str()), ("in_progress", "unknown"));
         assert_eq!(fleet.runs(), 0);
     }
 
-    a_host_killed_between_send_and_answer_leaves_one_run {
+    a_host_killed_between_send_and_response_leaves_one_run {
         let fleet = start(None).await;
         fleet.services[0].set_fault(Fault::Freeze);
         spawn(grant(&fleet).begin()).detach();
@@ -145,11 +146,11 @@
         assert_eq!(fleet.runs(), 1);
     }
 
-    a_host_killed_between_answer_and_record_leaves_one_run {
-        let stop = StopAt::new(Stop::BeforeRecord);
-        let fleet = start(Some(&stop)).await;
+    a_host_killed_between_response_and_record_leaves_one_run {
+        let hang = HangAt::new(HangPoint::BeforeRecord);
+        let fleet = start(Some(&hang)).await;
         spawn(grant(&fleet).begin()).detach();
-        stop.wait().await;
+        hang.wait().await;
         let resent = grant(&fleet).to(&fleet, 1).send().await;
         assert_eq!((resent.code().as_str(), resent.ran().as_str()), ("in_progress", "unknown"));
         assert_eq!(fleet.runs(), 1);
@@ -166,7 +167,7 @@
         assert_eq!(fleet.runs(), 1);
     }
 
-    a_call_whose_upstream_died_is_not_run_again {
+    a_call_whose_upstream_closed_the_connection_is_not_run_again {
         let fleet = start(None).await;
         fleet.services[0].set_fault(Fault::HangUp);
         let first = grant(&fleet).send().await;
@@ -183,15 +184,15 @@
             service: ServiceSettings { work: 200_000, interval: 50, ..ServiceSettings::default() },
             ..Setup::default()
         }).await;
-        let left = spawn(grant(&fleet).begin());
+        let abandoned = spawn(grant(&fleet).begin());
         wait_until("the call runs", || std::future::ready(fleet.runs() == 1)).await;
-        drop(left);
+        drop(abandoned);
         let ended = || async { grant(&fleet).to(&fleet, 1).send().await.status == 200 };
-        wait_until("the answer is stored", ended).await;
+        wait_until("the response is stored", ended).await;
         assert_eq!(fleet.runs(), 1);
     }
 
-    a_large_answer_is_passed_on_and_not_kept {
+    a_large_response_is_relayed_but_not_stored {
         let fleet = start(None).await;
         let body = "x".repeat(100_000);
         let first = grant(&fleet).with_body(body.clone()).send().await;
@@ -203,7 +204,7 @@
 
     a_call_that_cannot_be_claimed_is_not_sent {
         let mut fleet = start(None).await;
-        fleet.controller.take().expect("it runs").stop().await;
+        fleet.controller.take().expect("the controller runs").stop().await;
         sleep(Duration::from_millis(50)).await;
         let refused = grant(&fleet).send().await;
         assert_eq!((refused.code().as_str(), refused.ran().as_str()), ("unavailable", "no"));
@@ -216,15 +217,15 @@
         for service in &fleet.services {
             service.set_fault(Fault::HangUp);
         }
-        let answer = fleet.call("/grant").send().await;
-        assert_eq!((answer.code().as_str(), answer.ran().as_str()), ("upstream_failed", "unknown"));
+        let response = fleet.call("/grant").send().await;
+        assert_eq!((response.code().as_str(), response.ran().as_str()), ("upstream_failed", "unknown"));
         assert_eq!(fleet.runs(), 1);
     }
 
-    a_bad_idempotency_key_is_named {
+    an_invalid_idempotency_key_is_refused {
         let fleet = start(None).await;
-        let answer = grant(&fleet).with_header("idempotency-key", "").send().await;
-        assert_eq!(answer.code(), "bad_request");
-        assert!(answer.text().contains("idempotency-key"), "{}", answer.text());
+        let response = grant(&fleet).with_header("idempotency-key", "").send().await;
+        assert_eq!(response.code(), "bad_request");
+        assert!(response.text().contains("idempotency-key"), "{}", response.text());
     }
 }
--- a/tests/requests/keys.rs
+++ b/tests/requests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys that are granted and withdrawn while requests run.
+//! Tests of keys that are granted and withdrawn while requests run.
 
 use crate::{
     cases,
@@ -12,8 +12,8 @@
 };
 use std::time::Duration;
 
-/// How soon a withdrawn key must have stopped working.
-const LIMIT: Duration = Duration::from_secs(2);
+/// The time within which a withdrawn key must stop working.
+const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn start(settings: RouterSettings) -> Fleet {
     Fleet::start(Setup {
@@ -45,7 +45,7 @@
 cases! {
     a_withdrawn_key_ends_open_streams_and_stops_new_work_on_all_hosts {
         let fleet = start(RouterSettings::default()).await;
-        fleet.warm().await;
+        fleet.load_model().await;
         let mut streams = Vec::new();
         for i in 0..2 {
             let call = fleet.completion("/v1/completions", 100_000).to(&fleet, i);
@@ -54,25 +54,25 @@
         let clock = Clock::start();
         withdraw(&fleet).await;
         for stream in streams {
-            let ended = timeout(LIMIT, stream.collect()).await.expect("it ends");
-            assert!(ended.is_err(), "a broken stream is not whole");
+            let ended = timeout(WITHDRAWAL_TIMEOUT, stream.collect()).await.expect("the request ends");
+            assert!(ended.is_err(), "the stream did not end with an error");
         }
         for i in 0..2 {
             let refused = fleet.call("/look").to(&fleet, i).send().await;
             assert_eq!((refused.code().as_str(), refused.ran().as_str()), ("unauthorized", "no"));
         }
-        assert!(clock.elapsed() < LIMIT);
+        assert!(clock.elapsed() < WITHDRAWAL_TIMEOUT);
         let idle = || std::future::ready(fleet.engines.iter().all(|e| e.running() == 0));
-        wait_until("the engines are free", idle).await;
+        wait_until("the engines are idle", idle).await;
     }
 
     a_withdrawn_key_ends_waiting_requests {
         let fleet = start(RouterSettings::default()).await;
         fleet.services[0].set_fault(Fault::Freeze);
         let call = spawn(fleet.call("/grant").send());
-        wait_until("it runs", || std::future::ready(fleet.runs() == 1)).await;
+        wait_until("the request runs", || std::future::ready(fleet.runs() == 1)).await;
         withdraw(&fleet).await;
-        let ended = timeout(LIMIT, call).await.expect("it ends");
+        let ended = timeout(WITHDRAWAL_TIMEOUT, call).await.expect("the request ends");
         assert_eq!((ended.code().as_str(), ended.ran().as_str()), ("unauthorized", "unknown"));
     }
 
@@ -82,12 +82,12 @@
         let stub: sequoiawing::link::Stub<sequoiawing::link::PeerClient> =
             sequoiawing::link::Stub::new(fleet.routers[0].link(), secret);
         let keys = vec![fleet.key.id.clone()];
-        let call = stub.call(LIMIT, |client, context| async move {
+        let call = stub.call(WITHDRAWAL_TIMEOUT, |client, context| async move {
             client.withdraw(context, keys).await
         });
         assert_eq!(call.await.expect("the router answers"), 1);
         let refused = || async { fleet.call("/look").to(&fleet, 1).send().await.status == 401 };
-        wait_until("the other router knows", refused).await;
+        wait_until("the other router refuses the key", refused).await;
         let entered = || async {
             let tables = fleet.operator.read().await.expect("the controller answers");
             tables.is_withdrawn(&fleet.key.id)
@@ -113,19 +113,19 @@
             fleet.call("/open").without("authorization").with_header("proxy-authorization", &bearer),
         ];
         for call in calls {
-            let answer = call.clone().send().await;
-            assert_eq!(answer.status, 200, "{call:?}: {:?}", answer.body);
+            let response = call.clone().send().await;
+            assert_eq!(response.status, 200, "{call:?}: {:?}", response.body);
         }
         let in_body = fleet.call("/look").with_body(format!("mine is {key}.")).send().await;
         assert_eq!((in_body.code().as_str(), in_body.ran().as_str()), ("bad_request", "no"));
         let in_path = fleet.call(&format!("/look/{key}")).send().await;
         assert_eq!(in_path.code(), "bad_request");
-        fleet.warm().await;
-        let seen: Vec<String> = fleet.services.iter().flat_map(Service::seen).collect();
-        let asked: Vec<String> = fleet.engines.iter().flat_map(Engine::seen).collect();
-        assert_eq!(seen.len(), 9);
-        assert!(!asked.is_empty());
-        for request in seen.iter().chain(&asked) {
+        fleet.load_model().await;
+        let service_requests: Vec<String> = fleet.services.iter().flat_map(Service::seen).collect();
+        let engine_requests: Vec<String> = fleet.engines.iter().flat_map(Engine::seen).collect();
+        assert_eq!(service_requests.len(), 9);
+        assert!(!engine_requests.is_empty());
+        for request in service_requests.iter().chain(&engine_requests) {
             assert!(!request.contains(&secret), "{request}");
             assert!(!request.contains("swk_"), "{request}");
         }
@@ -133,27 +133,27 @@
 
     a_route_open_to_all_needs_no_customer {
         let fleet = start(RouterSettings::default()).await;
-        let anyone = fleet.call("/open").without("authorization").send().await;
-        assert_eq!(anyone.text(), "done: grant 7");
+        let anonymous = fleet.call("/open").without("authorization").send().await;
+        assert_eq!(anonymous.text(), "done: grant 7");
         withdraw(&fleet).await;
         assert_eq!(fleet.call("/open").send().await.text(), "done: grant 7");
     }
 
-    a_router_that_is_cut_off_honours_keys_for_its_grace_only {
+    a_router_that_is_cut_off_honours_keys_for_the_grace_period_only {
         let mut fleet = start(RouterSettings { key_grace: 1, ..RouterSettings::default() }).await;
         assert_eq!(fleet.call("/look").send().await.status, 200);
-        fleet.controller.take().expect("it runs").stop().await;
+        fleet.controller.take().expect("the controller runs").stop().await;
         let refused = || async { fleet.call("/look").send().await.status == 503 };
-        wait_until("the grace has passed", refused).await;
+        wait_until("the grace period has passed", refused).await;
         let refused = fleet.call("/look").send().await;
         assert_eq!((refused.code().as_str(), refused.ran().as_str()), ("unavailable", "no"));
-        let anyone = fleet.call("/open").without("authorization").send().await;
-        assert_eq!(anyone.status, 200);
+        let anonymous = fleet.call("/open").without("authorization").send().await;
+        assert_eq!(anonymous.status, 200);
     }
 
-    a_router_that_is_cut_off_honours_keys_for_ever_if_told_so {
+    a_router_that_is_cut_off_honours_keys_without_limit_if_the_grace_is_zero {
         let mut fleet = start(RouterSettings { key_grace: 0, ..RouterSettings::default() }).await;
-        fleet.controller.take().expect("it runs").stop().await;
+        fleet.controller.take().expect("the controller runs").stop().await;
         sleep(Duration::from_millis(1_500)).await;
         assert_eq!(fleet.call("/look").send().await.status, 200);
     }
--- a/tests/requests/load.rs
+++ b/tests/requests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool sees what a caller would resent.
+//! Tests that the load generator detects wrong and incomplete responses.
 
 use crate::{
     cases,
@@ -16,7 +16,7 @@
         ..Setup::default()
     })
     .await;
-    fleet.warm().await;
+    fleet.load_model().await;
     let customer = |name: &str| LoadCustomer {
         name: Name::from(name),
         key: fleet.key.reveal(),
@@ -34,7 +34,7 @@
     (fleet, settings)
 }
 
-fn directly(settings: LoadSettings, to: SocketAddr) -> LoadSettings {
+fn with_router(settings: LoadSettings, to: SocketAddr) -> LoadSettings {
     LoadSettings {
         routers: vec![to],
         ..settings
@@ -42,7 +42,7 @@
 }
 
 cases! {
-    whole_answers_are_counted_for_each_customer {
+    complete_responses_are_counted_for_each_customer {
         let (_fleet, settings) = start().await;
         let summaries = run_load(settings).await.summaries();
         assert_eq!(summaries.len(), 2);
@@ -56,7 +56,7 @@
     streams_that_end_too_early_are_wrong {
         let (fleet, settings) = start().await;
         fleet.engines[0].set_fault(Fault::CutShort);
-        let report = run_load(directly(settings, fleet.engines[0].address())).await;
+        let report = run_load(with_router(settings, fleet.engines[0].address())).await;
         for summary in report.summaries() {
             assert_eq!((summary.wrong, summary.took.count), (20, 0), "{summary:?}");
         }
--- a/tests/requests/main.rs
+++ b/tests/requests/main.rs
@@ -1,5 +1,5 @@
-//! What callers see of requests, with routers, controller and stand-ins in one
-//! process on loopback.
+//! Tests of requests as callers see them, with routers, a controller and
+//! stand-in upstreams in one process on loopback.
 
 mod callers;
 mod fleet;
@@ -9,7 +9,7 @@
 mod streams;
 mod upstreams;
 
-/// Names each case of a module and runs it on the executor.
+/// Defines a test for each case and runs it on the executor.
 macro_rules! cases {
     ($($name:ident $body:block)*) => {
         $(
--- a/tests/requests/streams.rs
+++ b/tests/requests/streams.rs
@@ -1,32 +1,32 @@
-//! Streams whose upstream fails in the middle.
+//! Tests of streams whose upstream fails part-way.
 
 use crate::{
     cases,
-    fleet::{Fleet, Setup, impatient},
+    fleet::{Fleet, Setup, short_stall},
 };
 use sequoiawing::{runtime::sleep, standin::Fault};
 use std::time::Duration;
 
-/// The tokens of the streams.
+/// The number of tokens in each stream.
 const TOKENS: u64 = 40;
 
-/// Starts an engine with the model loaded, which then fails.
+/// Starts an engine with the model loaded and injects a fault into it.
 async fn start(fault: Fault) -> Fleet {
     let fleet = Fleet::start(Setup {
         engines: 1,
-        settings: impatient(),
+        settings: short_stall(),
         ..Setup::default()
     })
     .await;
-    fleet.warm().await;
+    fleet.load_model().await;
     fleet.engines[0].set_fault(fault);
     fleet
 }
 
-/// Lets the engine work again as soon as it has failed once.
-async fn mend(fleet: &Fleet) {
+/// Clears the fault once the engine has served one more request.
+async fn clear_fault(fleet: &Fleet) {
     let served = fleet.engines[0].served();
-    crate::fleet::wait_until("the stream began", || {
+    crate::fleet::wait_until("the stream started", || {
         std::future::ready(fleet.engines[0].served() > served)
     })
     .await;
@@ -40,50 +40,51 @@
     parts.filter_map(|p| p.split('"').next()).collect()
 }
 
-/// Expects that a fault half-way leaves no trace where streams are resumed.
+/// Asserts that a resumable stream is complete in spite of a fault part-way.
 async fn assert_resumed(fault: Fault) {
     let fleet = start(fault).await;
     let call = sequoiawing::runtime::spawn(fleet.completion("/resumed", TOKENS).send());
-    mend(&fleet).await;
-    let answer = call.await;
+    clear_fault(&fleet).await;
+    let response = call.await;
     let expected: Vec<String> = (0..TOKENS).map(|i| format!("w{i}")).collect();
-    assert_eq!(words(answer.text()), expected);
-    assert!(answer.text().ends_with("data: [DONE]\n\n"));
+    assert_eq!(words(response.text()), expected);
+    assert!(response.text().ends_with("data: [DONE]\n\n"));
     let seen = fleet.engines[0].seen();
-    let resumed = seen.last().expect("it was asked");
+    let resumed = seen.last().expect("the engine received a request");
     assert!(
         resumed.contains("\"sequoiawing-resume-offset\": \"20\""),
         "{resumed}"
     );
 }
 
-/// Expects that a fault half-way is seen where streams are not resumed.
-async fn assert_broken(fault: Fault) {
+/// Asserts that a stream that is not resumable ends with an error on a fault
+/// part-way.
+async fn assert_incomplete(fault: Fault) {
     let fleet = start(fault).await;
-    let answer = fleet.completion("/v1/completions", TOKENS).send().await;
-    assert_eq!(answer.status, 200);
-    assert!(answer.body.is_err(), "{answer:?}");
+    let response = fleet.completion("/v1/completions", TOKENS).send().await;
+    assert_eq!(response.status, 200);
+    assert!(response.body.is_err(), "{response:?}");
 }
 
 cases! {
     a_stream_that_breaks_off_is_resumed { assert_resumed(Fault::BreakOff).await; }
     a_stream_that_is_cut_short_is_resumed { assert_resumed(Fault::CutShort).await; }
     a_stream_that_falls_silent_is_resumed { assert_resumed(Fault::FallSilent).await; }
-    a_stream_that_breaks_off_is_never_whole { assert_broken(Fault::BreakOff).await; }
-    a_stream_that_is_cut_short_is_never_whole { assert_broken(Fault::CutShort).await; }
-    a_stream_that_falls_silent_is_never_whole { assert_broken(Fault::FallSilent).await; }
+    a_stream_that_breaks_off_ends_with_an_error { assert_incomplete(Fault::BreakOff).await; }
+    a_stream_that_is_cut_short_ends_with_an_error { assert_incomplete(Fault::CutShort).await; }
+    a_stream_that_falls_silent_ends_with_an_error { assert_incomplete(Fault::FallSilent).await; }
 
-    a_stream_that_cannot_be_resumed_is_never_whole {
+    a_stream_that_cannot_be_resumed_ends_with_an_error {
         let fleet = start(Fault::BreakOff).await;
-        let answer = fleet.completion("/resumed", TOKENS).send().await;
-        assert!(answer.body.is_err(), "{answer:?}");
+        let response = fleet.completion("/resumed", TOKENS).send().await;
+        assert!(response.body.is_err(), "{response:?}");
     }
 
-    a_stream_without_a_token_yet_is_made_good {
+    a_stream_that_fails_before_its_first_token_is_retried {
         let fleet = start(Fault::BreakOff).await;
         let call = sequoiawing::runtime::spawn(fleet.completion("/v1/completions", 1).send());
-        mend(&fleet).await;
-        let answer = call.await;
-        assert_eq!(words(answer.text()), ["w0"]);
+        clear_fault(&fleet).await;
+        let response = call.await;
+        assert_eq!(words(response.text()), ["w0"]);
     }
 }
--- a/tests/requests/upstreams.rs
+++ b/tests/requests/upstreams.rs
@@ -1,8 +1,8 @@
-//! Upstreams that fail in every way, and what that costs a caller.
+//! Tests of what a caller sees when upstreams fail.
 
 use crate::{
     cases,
-    fleet::{Fleet, Seen, Setup, impatient, wait_until},
+    fleet::{Fleet, Response, Setup, short_stall, wait_until},
 };
 use hyper::Method;
 use sequoiawing::{
@@ -11,11 +11,11 @@
 };
 use std::time::Duration;
 
-/// Starts two services, the first of which fails.
+/// Starts two services and injects a fault into the first.
 async fn start(fault: Fault) -> Fleet {
     let fleet = Fleet::start(Setup {
         services: 2,
-        settings: impatient(),
+        settings: short_stall(),
         ..Setup::default()
     })
     .await;
@@ -23,19 +23,23 @@
     fleet
 }
 
-/// How soon a leaving upstream must get no new work.
+/// The time after which a leaving upstream must get no new requests.
 const LEAVE_LIMIT: Duration = Duration::from_secs(3);
 
-/// The calls that are sent at once, so that both services get some.
+/// The number of concurrent calls, so that both services get some.
 const BATCH: usize = 8;
 
-/// Sends calls until the failing service has had one, and returns the answers.
-async fn send_until_failed(fleet: &Fleet, path: &str) -> Vec<Seen> {
-    let mut answers = Vec::new();
+/// Sends calls until the failing service has received one and returns the
+/// responses.
+async fn send_until_failed(fleet: &Fleet, path: &str) -> Vec<Response> {
+    let mut responses = Vec::new();
     let reached = || !fleet.services[0].calls().is_empty() || !fleet.services[0].seen().is_empty();
     while !reached() {
-        assert!(answers.len() < 100, "the failing service is never chosen");
-        let first = answers.len();
+        assert!(
+            responses.len() < 100,
+            "the failing service was not chosen in 100 calls"
+        );
+        let first = responses.len();
         let calls: Vec<_> = (first..first + BATCH)
             .map(|i| {
                 let call = fleet.call(path).with_body(format!("call {i}"));
@@ -43,164 +47,164 @@
             })
             .collect();
         for call in calls {
-            answers.push(call.await);
+            responses.push(call.await);
         }
     }
-    answers
+    responses
 }
 
-/// Expects that every caller got the whole answer to its own call.
-fn assert_own(answers: &[Seen]) {
-    for (i, answer) in answers.iter().enumerate() {
-        assert_eq!(answer.text(), format!("done: call {i}"), "{answer:?}");
+/// Asserts that every caller got the complete response to its own call.
+fn assert_matching_responses(responses: &[Response]) {
+    for (i, response) in responses.iter().enumerate() {
+        assert_eq!(response.text(), format!("done: call {i}"), "{response:?}");
     }
 }
 
-/// Expects that a fault costs a call that may be repeated nothing.
-async fn assert_made_good(fault: Fault) {
+/// Asserts that repeatable calls succeed in spite of a fault.
+async fn assert_retried(fault: Fault) {
     let fleet = start(fault).await;
-    assert_own(&send_until_failed(&fleet, "/look").await);
+    assert_matching_responses(&send_until_failed(&fleet, "/look").await);
 }
 
-/// Expects that a call that may not be repeated ran at most once, and that its
-/// caller is told that nobody knows.
-async fn assert_told(fault: Fault) {
+/// Asserts that a call that may not be repeated runs at most once and that the
+/// refusal says that its outcome is unknown.
+async fn assert_outcome_unknown(fault: Fault) {
     let fleet = start(fault).await;
-    let answers = send_until_failed(&fleet, "/grant").await;
-    let mut told = 0;
-    for (i, answer) in answers.iter().enumerate() {
-        if answer.status == 200 {
-            assert_eq!(answer.text(), format!("done: call {i}"), "{answer:?}");
+    let responses = send_until_failed(&fleet, "/grant").await;
+    let mut unknown = 0;
+    for (i, response) in responses.iter().enumerate() {
+        if response.status == 200 {
+            assert_eq!(response.text(), format!("done: call {i}"), "{response:?}");
             continue;
         }
-        assert_eq!(answer.code(), "upstream_failed", "{answer:?}");
-        assert_eq!(answer.ran(), "unknown");
-        told += 1;
+        assert_eq!(response.code(), "upstream_failed", "{response:?}");
+        assert_eq!(response.ran(), "unknown");
+        unknown += 1;
     }
-    assert!(told > 0);
-    assert_eq!(fleet.runs(), answers.len());
+    assert!(unknown > 0);
+    assert_eq!(fleet.runs(), responses.len());
 }
 
-/// Expects that an answer that breaks off in the middle is not whole.
-async fn assert_broken(fault: Fault) {
+/// Asserts that a response that breaks off part-way ends with an error.
+async fn assert_incomplete(fault: Fault) {
     let fleet = start(fault).await;
-    let answers = send_until_failed(&fleet, "/grant").await;
+    let responses = send_until_failed(&fleet, "/grant").await;
     let mut broken = 0;
-    for (i, answer) in answers.iter().enumerate() {
-        assert_eq!(answer.status, 200);
-        match &answer.body {
+    for (i, response) in responses.iter().enumerate() {
+        assert_eq!(response.status, 200);
+        match &response.body {
             Ok(text) => assert_eq!(*text, format!("done: call {i}")),
             Err(_) => broken += 1,
         }
     }
     assert!(broken > 0);
-    assert_eq!(fleet.runs(), answers.len());
+    assert_eq!(fleet.runs(), responses.len());
 }
 
-/// Names the cases of one fault after the other.
-macro_rules! faults {
+/// Defines a case for each fault.
+macro_rules! fault_cases {
     ($check:ident: $($name:ident: $fault:ident;)*) => {
         cases! { $($name { $check(Fault::$fault).await; })* }
     };
 }
 
-faults! { assert_made_good:
-    a_frozen_upstream_is_made_good: Freeze;
-    an_upstream_that_falls_silent_is_made_good: FallSilent;
-    an_answer_that_breaks_off_is_made_good: BreakOff;
-    a_crossed_answer_is_made_good: Cross;
-    an_upstreams_error_is_made_good: Fail;
-    an_upstream_that_takes_nothing_is_made_good: Refuse;
-    rubbish_is_made_good: Rubbish;
-    an_answer_without_a_length_is_made_good: Unframed;
-    a_hang_up_is_made_good: HangUp;
+fault_cases! { assert_retried:
+    a_call_to_a_frozen_upstream_is_retried: Freeze;
+    a_response_that_falls_silent_is_retried: FallSilent;
+    a_response_that_breaks_off_is_retried: BreakOff;
+    a_crossed_response_is_retried: Cross;
+    an_upstreams_error_is_retried: Fail;
+    a_refused_connection_is_retried: Refuse;
+    an_invalid_response_is_retried: Rubbish;
+    a_response_without_a_length_is_retried: Unframed;
+    a_closed_connection_is_retried: HangUp;
 }
 
-faults! { assert_told:
-    a_frozen_upstream_is_told: Freeze;
-    a_crossed_answer_is_told: Cross;
-    rubbish_is_told: Rubbish;
-    an_answer_without_a_length_is_told: Unframed;
-    a_hang_up_is_told: HangUp;
+fault_cases! { assert_outcome_unknown:
+    a_frozen_upstream_leaves_the_outcome_unknown: Freeze;
+    a_crossed_response_leaves_the_outcome_unknown: Cross;
+    an_invalid_response_leaves_the_outcome_unknown: Rubbish;
+    a_response_without_a_length_leaves_the_outcome_unknown: Unframed;
+    a_closed_connection_leaves_the_outcome_unknown: HangUp;
 }
 
-faults! { assert_broken:
-    a_broken_answer_that_may_not_be_repeated_is_never_whole: BreakOff;
-    a_silent_answer_that_may_not_be_repeated_is_cut_off: FallSilent;
+fault_cases! { assert_incomplete:
+    a_non_repeatable_response_that_breaks_off_ends_with_an_error: BreakOff;
+    a_non_repeatable_response_that_falls_silent_ends_with_an_error: FallSilent;
 }
 
 cases! {
-    an_upstream_that_takes_nothing_costs_no_call_anything {
+    a_refused_connection_fails_no_call {
         let fleet = start(Fault::Refuse).await;
-        assert_own(&send_until_failed(&fleet, "/grant").await);
+        assert_matching_responses(&send_until_failed(&fleet, "/grant").await);
     }
 
-    an_upstreams_own_error_is_relayed_when_nothing_better_comes {
+    an_upstreams_error_is_relayed_when_all_upstreams_fail {
         let fleet = start(Fault::Fail).await;
         fleet.services[1].set_fault(Fault::Fail);
-        let answer = fleet.call("/look").send().await;
-        assert_eq!((answer.status.as_u16(), answer.text()), (500, "the service failed"));
-        assert_eq!(answer.ran(), "yes");
+        let response = fleet.call("/look").send().await;
+        assert_eq!((response.status.as_u16(), response.text()), (500, "the service failed"));
+        assert_eq!(response.ran(), "yes");
     }
 
-    a_stray_answer_is_given_to_nobody {
+    a_stray_response_is_discarded {
         let fleet = start(Fault::StrayAnswer).await;
         fleet.services[1].set_fault(Fault::StrayAnswer);
         for i in 0..20 {
             let body = format!("call {i}");
-            let answer = fleet.call("/look").with_body(body.clone()).send().await;
-            assert_eq!(answer.text(), format!("done: {body}"));
+            let response = fleet.call("/look").with_body(body.clone()).send().await;
+            assert_eq!(response.text(), format!("done: {body}"));
         }
     }
 
-    connections_that_close_when_idle_cost_no_call_anything {
+    closed_idle_connections_fail_no_call {
         let fleet = start(Fault::CloseIdle).await;
         fleet.services[1].set_fault(Fault::CloseIdle);
         for path in ["/look", "/grant"] {
             for i in 0..20 {
                 let body = format!("call {i}");
-                let answer = fleet.call(path).with_body(body.clone()).send().await;
-                assert_eq!(answer.text(), format!("done: {body}"));
+                let response = fleet.call(path).with_body(body.clone()).send().await;
+                assert_eq!(response.text(), format!("done: {body}"));
             }
         }
         assert_eq!(fleet.runs(), 40);
     }
 
-    an_answer_before_the_whole_request_is_relayed {
+    a_response_before_the_end_of_the_request_is_relayed {
         let fleet = start(Fault::AnswerEarly).await;
         fleet.services[1].set_fault(Fault::AnswerEarly);
         for path in ["/look", "/grant"] {
-            let answer = fleet.call(path).with_body("x".repeat(4_000_000)).send().await;
-            assert_eq!(answer.text(), "done: ");
+            let response = fleet.call(path).with_body("x".repeat(4_000_000)).send().await;
+            assert_eq!(response.text(), "done: ");
         }
     }
 
-    a_dead_upstream_costs_no_call_anything {
+    a_stopped_upstream_fails_no_call {
         let fleet = start(Fault::None).await;
         fleet.services[0].stop();
         sleep(Duration::from_millis(20)).await;
         for i in 0..20 {
-            let answer = fleet.call("/grant").with_body(format!("call {i}")).send().await;
-            assert_eq!(answer.text(), format!("done: call {i}"));
+            let response = fleet.call("/grant").with_body(format!("call {i}")).send().await;
+            assert_eq!(response.text(), format!("done: call {i}"));
         }
         assert_eq!(fleet.runs(), 20);
     }
 
-    a_failing_pool_is_not_stormed {
+    retries_to_a_failing_pool_are_limited {
         let fleet = start(Fault::Refuse).await;
         fleet.services[1].set_fault(Fault::Refuse);
         let clock = Clock::start();
         for _ in 0..20 {
             let calls: Vec<_> = (0..20).map(|_| spawn(fleet.call("/look").send())).collect();
             for call in calls {
-                let answer = call.await;
-                assert_eq!((answer.status.as_u16(), answer.ran().as_str()), (502, "no"));
-                assert!(answer.headers.contains_key("retry-after"));
+                let response = call.await;
+                assert_eq!((response.status.as_u16(), response.ran().as_str()), (502, "no"));
+                assert!(response.headers.contains_key("retry-after"));
             }
         }
         let asked: u64 = fleet.services.iter().map(Service::asked).sum();
-        // The first attempts, the saved retries, a fifth of the first attempts,
-        // and one retry a second.
+        // The first attempts, the initial retry budget, a fifth of the first
+        // attempts, and one retry per second.
         let allowed = 400 + 100 + 80 + clock.elapsed().as_secs() + 1;
         assert!(asked <= allowed, "{asked} attempts, {allowed} allowed");
     }
@@ -224,6 +228,6 @@
             let all = fleet.services.iter().flat_map(Service::seen);
             std::future::ready(all.into_iter().any(|r| r.contains("/look/strip?day=7&x=a%20b")))
         };
-        wait_until("it is seen", seen).await;
+        wait_until("the request is received", seen).await;
     }
 }
