--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Runs routers of several data centres as separate processes, and one
-//! customer who sends far more than the rate through all of them.
+//! Tests that a customer who sends far more than the rate through the routers of
+//! several data centres is limited over all of them.
 
 mod support;
 
@@ -15,15 +15,15 @@
     wait::wait,
 };
 
-/// The customer's tokens a second and at once, as the tables below say.
+/// The customer's rate in tokens per second and burst in tokens, as in `TABLES`.
 const RATE: u64 = 200;
 const BURST: u64 = 1_000;
 
-/// The tokens that each answer has.
-const ANSWER: u64 = 10;
+/// The number of tokens in each response.
+const RESPONSE_TOKENS: u64 = 10;
 
-/// The tokens that the prompt counts for at least.
-const PROMPT: u64 = 1;
+/// The minimum number of tokens charged for a prompt.
+const PROMPT_TOKENS: u64 = 1;
 
 const TABLES: &str = r#"{
     "customers": [{ "name": "daily", "rate": 200, "burst": 1000 }],
@@ -44,9 +44,9 @@
     Layout::from_centres(vec![centre(2), centre(2), centre(1)])
 }
 
-/// Sends requests through every router without a pause until `span` has
-/// passed, and returns the tokens of whole answers by router.
-fn hammer(deployment: &Deployment, key: &str, span: Duration) -> Vec<u64> {
+/// Sends requests through every router without a pause for `duration` and returns
+/// the tokens of complete responses by router.
+fn send_overload(deployment: &Deployment, key: &str, duration: Duration) -> Vec<u64> {
     let start = Instant::now();
     let served: Vec<AtomicU64> = (0..deployment.routers())
         .map(|_| AtomicU64::new(0))
@@ -54,17 +54,17 @@
     thread::scope(|scope| {
         for (router, served) in served.iter().enumerate() {
             scope.spawn(move || {
-                while start.elapsed() < span {
-                    let answer = deployment.complete_at(router, key, "caption", ANSWER);
-                    match answer.status {
-                        200 => served.fetch_add(ANSWER + PROMPT, Ordering::Relaxed),
+                while start.elapsed() < duration {
+                    let response = deployment.complete_at(router, key, "caption", RESPONSE_TOKENS);
+                    match response.status {
+                        200 => served.fetch_add(RESPONSE_TOKENS + PROMPT_TOKENS, Ordering::Relaxed),
                         429 => {
-                            let ran = answer.body.contains("\"ran\":\"no\"");
-                            assert!(ran, "{}", answer.body);
+                            let ran = response.body.contains("\"ran\":\"no\"");
+                            assert!(ran, "{}", response.body);
                             thread::sleep(Duration::from_millis(5));
                             0
                         }
-                        status => panic!("status {status}: {}", answer.body),
+                        status => panic!("status {status}: {}", response.body),
                     };
                 }
             });
@@ -73,9 +73,9 @@
     served.into_iter().map(AtomicU64::into_inner).collect()
 }
 
-/// Returns the most that the customer may have used.
-fn bound(since: Instant) -> u64 {
-    let millis = u64::try_from(since.elapsed().as_millis()).expect("it fits");
+/// Returns the maximum number of tokens that the customer may have used.
+fn max_usage(since: Instant) -> u64 {
+    let millis = u64::try_from(since.elapsed().as_millis()).expect("the value fits");
     BURST + RATE * (millis + 1) / 1_000
 }
 
@@ -84,39 +84,54 @@
     let mut deployment = Deployment::start_with("shared-budget", &layout());
     deployment.write(
         "tables.json",
-        &serde_json::from_str(TABLES).expect("valid JSON"),
+        &serde_json::from_str(TABLES).expect("the tables are valid JSON"),
     );
     deployment.ctl(&["apply", "tables.json"]);
     let start = Instant::now();
     let key = deployment.grant_key("daily");
-    let connected = hammer(&deployment, &key, Duration::from_secs(5));
+    let connected = send_overload(&deployment, &key, Duration::from_secs(5));
     let total: u64 = connected.iter().sum();
-    println!("connected: {connected:?} of {}", bound(start));
-    assert!(total <= bound(start), "{total} tokens of {}", bound(start));
+    println!("connected: {connected:?} of {}", max_usage(start));
+    assert!(
+        total <= max_usage(start),
+        "{total} tokens of {}",
+        max_usage(start)
+    );
     assert!(total >= BURST, "only {total} tokens: {connected:?}");
 
-    // The last second's rate and what accrues until the cut-off is noticed is
-    // all that is left; then every data centre serves from its share.
+    // Only the tokens of the last second and those that accrue until the
+    // disconnection is detected are left; then every data centre serves from its
+    // own share.
     deployment.kill_controllers();
     thread::sleep(Duration::from_secs(3));
-    let cut_off = hammer(&deployment, &key, Duration::from_secs(6));
-    let total: u64 = total + cut_off.iter().sum::<u64>();
-    println!("cut off: {cut_off:?}, in all {total} of {}", bound(start));
-    assert!(total <= bound(start), "{total} tokens of {}", bound(start));
-    let centres = [&cut_off[..2], &cut_off[2..4], &cut_off[4..]];
+    let disconnected = send_overload(&deployment, &key, Duration::from_secs(6));
+    let total: u64 = total + disconnected.iter().sum::<u64>();
+    println!(
+        "disconnected: {disconnected:?}, {total} of {}",
+        max_usage(start)
+    );
+    assert!(
+        total <= max_usage(start),
+        "{total} tokens of {}",
+        max_usage(start)
+    );
+    let centres = [&disconnected[..2], &disconnected[2..4], &disconnected[4..]];
     for (c, served) in centres.iter().enumerate() {
         let served: u64 = served.iter().sum();
-        assert!(served > 0, "data centre {c} served nothing: {cut_off:?}");
+        assert!(
+            served > 0,
+            "data centre {c} served nothing: {disconnected:?}"
+        );
     }
 }
 
 #[test]
-fn a_router_without_a_lender_says_so() {
+fn a_router_without_a_lender_reports_that_it_waits_for_credit() {
     let mut deployment = Deployment::start_with("no-lender", &layout());
     let key = deployment.grant_key("daily");
     deployment.kill_controllers();
-    // It knows neither a share nor credit any more, but gets the tables from
-    // its neighbours.
+    // The restarted router has neither a share nor credit, but gets the tables
+    // from its peers.
     deployment.kill_router(4);
     deployment.start_router(4);
     wait("the tables", || {
@@ -124,10 +139,18 @@
         let has_tables = body.contains("credit");
         has_tables.then_some(()).ok_or(json!(body))
     });
-    let answer = deployment.complete_at(4, &key, "caption", ANSWER);
-    assert_eq!(answer.status, 503, "{}", answer.body);
-    assert!(answer.body.contains("\"unavailable\""), "{}", answer.body);
-    assert!(answer.body.contains("\"ran\":\"no\""), "{}", answer.body);
+    let response = deployment.complete_at(4, &key, "caption", RESPONSE_TOKENS);
+    assert_eq!(response.status, 503, "{}", response.body);
+    assert!(
+        response.body.contains("\"unavailable\""),
+        "{}",
+        response.body
+    );
+    assert!(
+        response.body.contains("\"ran\":\"no\""),
+        "{}",
+        response.body
+    );
     let (status, body) = deployment.health(4);
     assert_eq!((status, body.trim()), (503, "waiting for credit"));
 }
--- a/tests/controllers.rs
+++ b/tests/controllers.rs
@@ -1,4 +1,5 @@
-//! Three real controllers with real disks on loopback, and what they survive.
+//! Tests of crash recovery with three controllers as separate processes, each
+//! with its own data folder.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use std::{sync::Arc, thread};
 use support::controllers::Controllers;
 
-/// An edit that creates one customer, with a request id of its own.
+/// Returns an edit that creates one customer, with a new request ID.
 fn edit(name: &str) -> Command {
     Command::Edit {
         request: RequestId::random(),
@@ -22,7 +23,7 @@
     }
 }
 
-/// Makes edits one after the other and returns the revision of each.
+/// Makes edits in sequence and returns the revision of each.
 fn make_edits(controllers: &Controllers, prefix: &str, count: usize) -> Vec<(String, Revision)> {
     let make = |i| {
         let name = format!("{prefix}-{i}");
@@ -35,7 +36,7 @@
     (0..count).map(make).collect()
 }
 
-/// Checks that all edits are there, and that each was made once.
+/// Checks that all edits are present and that each was made exactly once.
 fn check_edits(controllers: &Controllers, edits: &[(String, Revision)]) {
     let tables = controllers.read();
     for (name, revision) in edits {
@@ -43,12 +44,15 @@
             tables.customers.contains_key(name.as_str()),
             "{name} is lost"
         );
-        assert!(*revision <= tables.revision, "{revision} was taken back");
+        assert!(
+            *revision <= tables.revision,
+            "revision {revision} was reverted"
+        );
     }
     assert_eq!(
         tables.revision.0,
         edits.len() as u64,
-        "each edit is made once"
+        "each edit is made exactly once"
     );
     let mut revisions: Vec<_> = edits.iter().map(|(_, r)| *r).collect();
     revisions.sort_unstable();
@@ -78,7 +82,7 @@
     }
     let mut edits = Vec::new();
     for writer in writers {
-        edits.extend(writer.join().expect("the writer ends well"));
+        edits.extend(writer.join().expect("the writer does not panic"));
     }
     check_edits(&controllers, &edits);
 }
@@ -98,7 +102,7 @@
     assert_eq!(
         controllers.propose(&resent),
         first,
-        "a resend gets the first answer"
+        "a resend gets the first outcome"
     );
     check_edits(&controllers, &edits);
 }
@@ -107,25 +111,25 @@
 fn a_stopped_leader_neither_reads_stale_nor_accepts() {
     let controllers = Arc::new(Controllers::start("stopped"));
     let mut edits = make_edits(&controllers, "a", 5);
-    let old = controllers.wait_for_leader();
-    controllers.signal(old, "STOP");
-    let asking = controllers.clone();
-    let read = thread::spawn(move || asking.read_at(old));
-    let asking = controllers.clone();
+    let suspended = controllers.wait_for_leader();
+    controllers.signal(suspended, "STOP");
+    let handle = controllers.clone();
+    let read = thread::spawn(move || handle.read_at(suspended));
+    let handle = controllers.clone();
     let late = edit("late");
     let proposal = late.clone();
-    let accepted = thread::spawn(move || asking.propose_at(old, &proposal));
-    controllers.wait_for_other_leader(old);
+    let accepted = thread::spawn(move || handle.propose_at(suspended, &proposal));
+    controllers.wait_for_other_leader(suspended);
     edits.extend(make_edits(&controllers, "b", 1));
-    controllers.signal(old, "CONT");
-    match read.join().expect("the reader ends well") {
-        Ok(Ok(tables)) => assert!(tables.customers.contains_key("b-0"), "a stale read"),
+    controllers.signal(suspended, "CONT");
+    match read.join().expect("the reader does not panic") {
+        Ok(Ok(tables)) => assert!(tables.customers.contains_key("b-0"), "the read was stale"),
         Ok(Err(error)) => assert!(matches!(error, ControlError::NotLeader { .. }), "{error}"),
         Err(_) => {}
     }
-    let answer = accepted.join().expect("the proposer ends well");
-    if let Ok(Ok(Outcome::Accepted(_))) = answer {
-        panic!("a leader that was stopped accepted an edit");
+    let outcome = accepted.join().expect("the proposer does not panic");
+    if let Ok(Ok(Outcome::Accepted(_))) = outcome {
+        panic!("a suspended leader accepted an edit");
     }
     controllers.wait_for_voters(3);
     edits.extend(make_edits(&controllers, "c", 1));
@@ -143,13 +147,13 @@
         let own = members.find(|m| m.host == controllers.host(lost));
         own.map(|m| m.id)
     };
-    let former = id(&controllers.status(leader).expect("the leader answers"));
+    let previous = id(&controllers.status(leader).expect("the leader answers"));
     controllers.kill(lost);
     controllers.wipe(lost);
     edits.extend(make_edits(&controllers, "b", 20));
     controllers.spawn(lost);
     controllers.wait_for(leader, |s| {
-        s.members.iter().all(|m| m.voter) && id(s) != former
+        s.members.iter().all(|m| m.voter) && id(s) != previous
     });
     controllers.wait_for_voters(3);
     let second = (leader + 2) % 3;
@@ -169,13 +173,13 @@
         controllers.signal(leader, "TERM");
         assert!(
             controllers.wait_for_exit(leader),
-            "a planned stop ends well"
+            "the controller did not exit with success"
         );
         controllers.wait_for_leader();
         controllers.spawn(leader);
         controllers.wait_for_voters(3);
     }
-    let edits = writer.join().expect("the writer ends well");
+    let edits = writer.join().expect("the writer does not panic");
     check_edits(&controllers, &edits);
 }
 
@@ -188,7 +192,10 @@
     controllers.kill(damaged);
     controllers.flip_bit(damaged);
     controllers.spawn(damaged);
-    assert!(!controllers.wait_for_exit(damaged), "it does not start");
+    assert!(
+        !controllers.wait_for_exit(damaged),
+        "a controller with a damaged log started"
+    );
     let log = controllers.log(damaged);
     assert!(log.contains("is damaged at byte"), "{log}");
     edits.extend(make_edits(&controllers, "b", 5));
@@ -215,13 +222,17 @@
         }
     };
     let commands = [from_base("left"), from_base("right")];
-    let racing = commands.clone().map(|command| {
+    let operators = commands.clone().map(|command| {
         let controllers = controllers.clone();
         thread::spawn(move || controllers.propose(&command))
     });
-    let outcomes = racing.map(|r| r.join().expect("the operator ends well"));
-    let won = |o: &&Outcome| matches!(o, Outcome::Accepted(_));
-    assert_eq!(outcomes.iter().filter(won).count(), 1, "{outcomes:?}");
+    let outcomes = operators.map(|r| r.join().expect("the operator does not panic"));
+    let is_accepted = |o: &&Outcome| matches!(o, Outcome::Accepted(_));
+    assert_eq!(
+        outcomes.iter().filter(is_accepted).count(),
+        1,
+        "{outcomes:?}"
+    );
     for (outcome, name) in outcomes.iter().zip(["left", "right"]) {
         match outcome {
             Outcome::Accepted(revision) => edits.push((name.to_owned(), *revision)),
@@ -229,8 +240,12 @@
                 base: from,
                 current,
             } => {
-                assert_eq!(*from, base, "the conflict names the operator's revision");
-                assert_eq!(current.0, base.0 + 1, "and the one in force");
+                assert_eq!(*from, base, "the conflict names the base revision");
+                assert_eq!(
+                    current.0,
+                    base.0 + 1,
+                    "the conflict names the current revision"
+                );
             }
             other => panic!("{other:?}"),
         }
@@ -240,7 +255,7 @@
         let again = controllers.propose(command);
         assert_eq!(
             again, *outcome,
-            "a resend gets the first answer from a new leader"
+            "a resend gets the first outcome from a new leader"
         );
     }
     check_edits(&controllers, &edits);
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -1,4 +1,4 @@
-//! Checks every sample file under `examples/`.
+//! Checks the example deployments under `examples/`.
 
 use sequoiawing::{
     controller::ControllerSettings,
@@ -27,12 +27,12 @@
         let folder = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("examples")
             .join(name);
-        let tables = read_tables(&folder.join("tables.json")).expect("the tables are sound");
+        let tables = read_tables(&folder.join("tables.json")).expect("the tables are valid");
         Self {
             tables,
             deployment: settings(&folder.join("deployment.json")),
-            routers: all(&folder.join("routers")),
-            controllers: all(&folder.join("controllers")),
+            routers: read_all(&folder.join("routers")),
+            controllers: read_all(&folder.join("controllers")),
             folder,
         }
     }
@@ -69,20 +69,22 @@
 
 fn files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("the folder exists");
-    let mut files: Vec<PathBuf> = entries.map(|e| e.expect("it can be read").path()).collect();
+    let mut files: Vec<PathBuf> = entries
+        .map(|e| e.expect("the entry is readable").path())
+        .collect();
     files.sort();
     files
 }
 
-fn all<S>(folder: &Path) -> Vec<S>
+fn read_all<S>(folder: &Path) -> Vec<S>
 where
     S: Check + DeserializeOwned,
 {
     files(folder).iter().map(|f| settings(f)).collect()
 }
 
-/// What the brief says of a deployment.
-struct Size {
+/// The specified size of an example deployment.
+struct ExpectedSize {
     centres: usize,
     runners: usize,
     services: usize,
@@ -90,7 +92,7 @@
     adapters: usize,
 }
 
-fn check(name: &str, size: &Size) {
+fn check(name: &str, size: &ExpectedSize) {
     let example = Example::read(name);
     let findings = example.tables.check("tables.json");
     assert!(findings.is_empty(), "{findings}");
@@ -105,7 +107,7 @@
     check_deployment(&example);
 }
 
-fn check_upstreams(example: &Example, size: &Size) {
+fn check_upstreams(example: &Example, size: &ExpectedSize) {
     let (runners, services): (Vec<_>, Vec<_>) = example
         .tables
         .pools
@@ -116,28 +118,28 @@
     assert_eq!((engines.len(), plain.len()), (size.runners, size.services));
     let announced = engines.iter().map(|e| (&e.centre, &e.routers));
     for (centre, routers) in announced.chain(plain.iter().map(|s| (&s.centre, &s.routers))) {
-        let here = example.routers.iter().filter(|r| r.centre == *centre);
-        let here: Vec<_> = here.map(|r| r.upstreams).collect();
+        let local = example.routers.iter().filter(|r| r.centre == *centre);
+        let local: Vec<_> = local.map(|r| r.upstreams).collect();
         assert_eq!(
-            *routers, here,
-            "an upstream announces itself in its data centre"
+            *routers, local,
+            "an upstream announces itself to the routers of its data centre"
         );
     }
 }
 
 fn check_deployment(example: &Example) {
-    let of = |host, centre, address| Host {
+    let to_host = |host, centre, address| Host {
         host,
         centre,
         address,
     };
     let routers = example.routers.iter();
     let routers: Vec<Host> = routers
-        .map(|r| of(r.host.clone(), r.centre.clone(), r.link))
+        .map(|r| to_host(r.host.clone(), r.centre.clone(), r.link))
         .collect();
     let controllers = example.controllers.iter();
     let controllers: Vec<Host> = controllers
-        .map(|c| of(c.host.clone(), c.centre.clone(), c.link))
+        .map(|c| to_host(c.host.clone(), c.centre.clone(), c.link))
         .collect();
     assert_eq!(example.deployment.routers, routers);
     assert_eq!(example.deployment.controllers, controllers);
@@ -150,10 +152,10 @@
 }
 
 #[test]
-fn inkveld_is_as_large_as_the_brief_says() {
+fn inkveld_has_the_specified_size() {
     check(
         "inkveld",
-        &Size {
+        &ExpectedSize {
             centres: 3,
             runners: 10,
             services: 3,
@@ -164,10 +166,10 @@
 }
 
 #[test]
-fn kommentarwerk_is_as_large_as_the_brief_says() {
+fn kommentarwerk_has_the_specified_size() {
     check(
         "kommentarwerk",
-        &Size {
+        &ExpectedSize {
             centres: 4,
             runners: 20,
             services: 4,
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! What a service still gets once it has said that it leaves, by its own journal.
+//! Tests that a service gets no new calls once it has announced that it leaves,
+//! according to its own journal.
 
 mod support;
 
@@ -10,24 +11,24 @@
 };
 use support::{Deployment, Layout, wait::wait};
 
-/// How soon a leaving upstream gets no new work, in milliseconds.
-const LIMIT: u64 = 3_000;
+/// The time after which a leaving upstream gets no new calls, in milliseconds.
+const LEAVE_LIMIT_MS: u64 = 3_000;
 
-/// How long the service still takes calls, in milliseconds: long enough to see
-/// that none comes.
-const FAREWELL: u64 = 8_000;
+/// How long the leaving service still accepts calls, in milliseconds: long enough
+/// to detect late ones.
+const FAREWELL_MS: u64 = 8_000;
 
 const LEAVING: &str = "licences-0-0";
 const STAYING: &str = "licences-0-1";
 
 /// Two data centres with two routers each; the services are in the first.
 fn layout() -> Layout {
-    let mut layout = Layout::of(&[(2, 0, 2), (2, 0, 0)]);
-    layout.service = json!({ "farewell": FAREWELL });
+    let mut layout = Layout::from_counts(&[(2, 0, 2), (2, 0, 0)]);
+    layout.service = json!({ "farewell": FAREWELL_MS });
     layout
 }
 
-/// Returns the calls that a service ran from a time on.
+/// Returns the calls that a service ran at or after a time in milliseconds.
 fn runs(deployment: &Deployment, service: &str, from: u64) -> Vec<(u64, String)> {
     let mut lines = deployment.journal(service);
     lines.retain(|(at, what)| *at >= from && what.starts_with("run "));
@@ -38,19 +39,19 @@
 fn a_leaving_service_gets_no_new_work_from_any_router() {
     let mut deployment = Deployment::start_with("leaving", &layout());
     let key = deployment.grant_key("daily");
-    let left = AtomicBool::new(false);
+    let done = AtomicBool::new(false);
     let mut stopping = None;
     let callers: Vec<_> = (0..deployment.routers())
         .map(|r| deployment.callers_of(r))
         .collect();
     thread::scope(|scope| {
         for (router, to) in callers.iter().enumerate() {
-            let (key, left) = (&key, &left);
+            let (key, done) = (&key, &done);
             scope.spawn(move || {
-                while !left.load(Ordering::Relaxed) {
+                while !done.load(Ordering::Relaxed) {
                     let body = format!("from {router}");
-                    let answer = support::post(*to, "/licences/grant", key, &body);
-                    assert_eq!(answer.status, 200, "router {router}: {}", answer.body);
+                    let response = support::post(*to, "/licences/grant", key, &body);
+                    assert_eq!(response.status, 200, "router {router}: {}", response.body);
                 }
             });
         }
@@ -62,15 +63,22 @@
                 .ok_or(json!(from))
         });
         stopping = Some(deployment.terminate(LEAVING));
-        stopping.take().expect("it was asked to stop").wait();
-        left.store(true, Ordering::Relaxed);
+        stopping
+            .take()
+            .expect("the process was asked to stop")
+            .wait();
+        done.store(true, Ordering::Relaxed);
     });
     let journal = deployment.journal(LEAVING);
     let leave = journal.iter().find(|(_, what)| what == "leave");
-    let leave = leave.expect("it said that it leaves").0;
-    let late = runs(&deployment, LEAVING, leave + LIMIT);
+    let leave = leave.expect("the journal has the announcement to leave").0;
+    let late = runs(&deployment, LEAVING, leave + LEAVE_LIMIT_MS);
     assert!(late.is_empty(), "{} late calls: {late:?}", late.len());
-    let elsewhere = runs(&deployment, STAYING, leave + LIMIT);
+    let elsewhere = runs(&deployment, STAYING, leave + LEAVE_LIMIT_MS);
     let from: BTreeSet<String> = elsewhere.into_iter().map(|(_, what)| what).collect();
-    assert_eq!(from.len(), callers.len(), "all went on calling: {from:?}");
+    assert_eq!(
+        from.len(),
+        callers.len(),
+        "some routers did not call the other service: {from:?}"
+    );
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Runs the operators' commands against the daemons as separate processes.
+//! Tests of the operators' commands against daemons as separate processes.
 
 mod support;
 
@@ -6,20 +6,20 @@
 use std::time::Duration;
 use support::{Deployment, wait::wait};
 
-/// How soon a leaving upstream gets no new work.
-const LEAVING: Duration = Duration::from_secs(3);
+/// The time after which a drained upstream gets no new requests.
+const LEAVE_LIMIT: Duration = Duration::from_secs(3);
 
-fn json(text: &str) -> Value {
+fn parse_json(text: &str) -> Value {
     serde_json::from_str(text).expect("the output is JSON")
 }
 
 #[test]
 fn status_names_the_pool_whose_upstream_is_drained() {
     let deployment = Deployment::start("drained-upstream");
-    let before = json(&deployment.ctl(&["status", "-o", "json"]));
-    assert_eq!(before["problems"], json("[]"), "{before}");
+    let before = parse_json(&deployment.ctl(&["status", "-o", "json"]));
+    assert_eq!(before["problems"], parse_json("[]"), "{before}");
     deployment.ctl(&["drain", "upstream", "licences-0-0"]);
-    let after = json(&deployment.ctl(&["status", "-o", "json"]));
+    let after = parse_json(&deployment.ctl(&["status", "-o", "json"]));
     let problems = after["problems"].to_string();
     assert!(problems.contains("is drained by an operator"), "{problems}");
 }
@@ -31,12 +31,12 @@
     let call = || deployment.post(0, "/licences/grant", &key, "{}");
     assert_eq!(call().status, 200);
     deployment.ctl(&["drain", "upstream", "licences-0-0"]);
-    std::thread::sleep(LEAVING);
+    std::thread::sleep(LEAVE_LIMIT);
     let refused = call();
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert!(refused.body.contains("\"ran\":\"no\""), "{}", refused.body);
     deployment.ctl(&["drain", "--undo", "upstream", "licences-0-0"]);
-    std::thread::sleep(LEAVING);
+    std::thread::sleep(LEAVE_LIMIT);
     assert_eq!(call().status, 200);
 }
 
@@ -46,25 +46,27 @@
     let key = deployment.grant_key("daily");
     let id = key.split('_').nth(1).expect("a key has an identifier");
     assert_eq!(deployment.complete(&key, "caption", 1).status, 200);
-    let ask = |args: &[&str]| {
+    let explain = |args: &[&str]| {
         let all = [&["explain", "-o", "json", "/v1/completions"], args].concat();
-        json(&deployment.ctl(&all))[0]["steps"].clone()
+        parse_json(&deployment.ctl(&all))[0]["steps"].clone()
     };
-    let last = |steps: &Value| steps.as_array().and_then(|s| s.last().cloned());
-    let admitted = ask(&["--key", id, "--model", "caption"]);
-    let end = last(&admitted).expect("there are steps");
+    let last_step = |steps: &Value| steps.as_array().and_then(|s| s.last().cloned());
+    let admitted = explain(&["--key", id, "--model", "caption"]);
+    let step = last_step(&admitted).expect("explain lists steps");
     assert_eq!(
-        (&end["part"], &end["verdict"]),
+        (&step["part"], &step["verdict"]),
         (&"forward".into(), &"passes".into())
     );
-    assert!(end["reason"].to_string().contains("runner-0-0"), "{end}");
-    let unknown = last(&ask(&["--key", id, "--model", "no-such-model"])).expect("steps");
+    assert!(step["reason"].to_string().contains("runner-0-0"), "{step}");
+    let unknown = last_step(&explain(&["--key", id, "--model", "no-such-model"]))
+        .expect("explain lists steps");
     assert_eq!(
         (&unknown["part"], &unknown["verdict"]),
         (&"model".into(), &"refused".into())
     );
     deployment.ctl(&["keys", "withdraw", id]);
-    let withdrawn = last(&ask(&["--key", id, "--model", "caption"])).expect("steps");
+    let withdrawn =
+        last_step(&explain(&["--key", id, "--model", "caption"])).expect("explain lists steps");
     assert_eq!(withdrawn["reason"], format!("the key {id} was withdrawn"));
 }
 
@@ -73,9 +75,9 @@
     let deployment = Deployment::start("request-id");
     let args = ["keys", "grant", "daily", "--request-id", "resend-1"];
     deployment.ctl(&args);
-    let (code, errors) = deployment.ctl_fails(&args);
+    let (code, errors) = deployment.try_ctl(&args);
     assert_eq!(code, Some(2), "the second key was not granted: {errors}");
-    let list = json(&deployment.ctl(&["keys", "list", "-o", "json"]));
+    let list = parse_json(&deployment.ctl(&["keys", "list", "-o", "json"]));
     assert_eq!(list["keys"].as_array().map(Vec::len), Some(1), "{list}");
 }
 
@@ -83,26 +85,26 @@
 fn the_tables_can_be_fetched_and_applied_again() {
     let deployment = Deployment::start("get-apply");
     let tables = deployment.ctl(&["get"]);
-    let file = deployment.write("fetched.json", &json(&tables));
-    let file = file.to_str().expect("the path is text");
+    let file = deployment.write("fetched.json", &parse_json(&tables));
+    let file = file.to_str().expect("the path is valid UTF-8");
     let applied = deployment.ctl(&["apply", "--prune", file]);
     assert!(applied.starts_with("nothing to change"), "{applied}");
 }
 
 #[test]
-fn of_two_operators_who_read_the_same_tables_one_is_told_of_the_conflict() {
+fn the_second_of_two_operators_who_edit_the_same_tables_gets_a_conflict() {
     let deployment = Deployment::start("conflict");
-    let tables = json(&deployment.ctl(&["get"]));
+    let tables = parse_json(&deployment.ctl(&["get"]));
     let rate = |rate: u64, name: &str| {
         let mut tables = tables.clone();
         tables["customers"][0]["rate"] = rate.into();
         let file = deployment.write(name, &tables);
-        file.to_str().expect("the path is text").to_owned()
+        file.to_str().expect("the path is valid UTF-8").to_owned()
     };
     let (first, second) = (rate(2_000, "first.json"), rate(3_000, "second.json"));
-    let base = json(&deployment.ctl(&["apply", "-o", "json", &first]))["base"].clone();
+    let base = parse_json(&deployment.ctl(&["apply", "-o", "json", &first]))["base"].clone();
     let base = base.to_string();
-    let (code, errors) = deployment.ctl_fails(&["apply", "--base", &base, &second]);
+    let (code, errors) = deployment.try_ctl(&["apply", "--base", &base, &second]);
     assert_eq!(code, Some(3), "{errors}");
     assert!(errors.contains("hint: run the command again"), "{errors}");
 }
@@ -136,16 +138,16 @@
     );
 }
 
-/// Doubles the rate of the only customer.
-const DOUBLE: &str = "sed -i 's/\"rate\": 1000/\"rate\": 2000/' \"$1\"";
+/// A shell command that doubles the rate of the only customer.
+const DOUBLE_RATE: &str = "sed -i 's/\"rate\": 1000/\"rate\": 2000/' \"$1\"";
 
 #[test]
 fn an_edit_is_not_stopped_by_a_key_granted_meanwhile() {
     let deployment = Deployment::start("edit-and-grant");
-    let script = format!("$CTL keys grant daily && {DOUBLE}");
+    let script = format!("$CTL keys grant daily && {DOUBLE_RATE}");
     let (code, errors) = deployment.ctl_edit(&script);
     assert_eq!(code, Some(0), "{errors}");
-    let tables = json(&deployment.ctl(&["get"]));
+    let tables = parse_json(&deployment.ctl(&["get"]));
     assert_eq!(tables["customers"][0]["rate"], 2_000, "{tables}");
 }
 
@@ -154,7 +156,7 @@
     let deployment = Deployment::start("edit-and-edit");
     let script = format!(
         "$CTL get > other.json && sed -i 's/\"burst\": 10000/\"burst\": 9000/' other.json \
-         && $CTL apply other.json && {DOUBLE}"
+         && $CTL apply other.json && {DOUBLE_RATE}"
     );
     let (code, errors) = deployment.ctl_edit(&script);
     assert_eq!(code, Some(3), "{errors}");
@@ -171,7 +173,7 @@
 fn budgets_show_what_each_data_centre_holds() {
     let deployment = Deployment::start("budgets-shown");
     let shown = wait("the leader to join the slots", || {
-        let shown = json(&deployment.ctl(&["budgets", "-o", "json"]));
+        let shown = parse_json(&deployment.ctl(&["budgets", "-o", "json"]));
         let slots = &shown["budgets"]["fleet:adapter-slots"]["centres"][0];
         let is_joined = slots["connected"] == true;
         is_joined.then_some(shown.clone()).ok_or(shown)
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,41 +1,45 @@
-//! Runs the daemons as separate processes on loopback.
+//! Tests of the daemons as separate processes on loopback.
 
 mod support;
 
 use serde_json::json;
 use std::{net::SocketAddr, thread, time::Duration};
-use support::{Answer, Deployment, Layout, post};
+use support::{Deployment, Layout, Response, post};
 
-/// Sends a streamed completion from a thread of its own.
-fn stream(to: SocketAddr, key: &str, model: &str, tokens: u64) -> thread::JoinHandle<Answer> {
+/// Sends a streamed completion from a new thread.
+fn stream(to: SocketAddr, key: &str, model: &str, tokens: u64) -> thread::JoinHandle<Response> {
     let body = json!({ "model": model, "prompt": "p", "max_tokens": tokens, "stream": true });
     let key = key.to_owned();
     thread::spawn(move || post(to, "/v1/completions", &key, &body.to_string()))
 }
 
-/// Expects a whole stream.
-fn assert_whole(answer: &Answer, tokens: usize) {
-    assert_eq!(answer.status, 200, "{}", answer.body);
-    assert_eq!(answer.body.matches("\"text\":\"w").count(), tokens);
-    assert!(answer.body.ends_with("data: [DONE]\n\n"));
+/// Asserts that a stream is complete.
+fn assert_complete(response: &Response, tokens: usize) {
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert_eq!(response.body.matches("\"text\":\"w").count(), tokens);
+    assert!(response.body.ends_with("data: [DONE]\n\n"));
 }
 
 #[test]
 fn a_cold_request_is_loaded_and_streamed_whole() {
     let deployment = Deployment::start("cold-request");
     let key = deployment.grant_key("daily");
-    let answer = deployment.complete(&key, "caption", 8);
-    assert_eq!(answer.status, 200, "{}", answer.body);
-    assert_eq!(answer.body.matches("\"text\":\"w").count(), 8);
-    assert!(answer.body.ends_with("data: [DONE]\n\n"));
+    let response = deployment.complete(&key, "caption", 8);
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert_eq!(response.body.matches("\"text\":\"w").count(), 8);
+    assert!(response.body.ends_with("data: [DONE]\n\n"));
 }
 
 #[test]
 fn a_request_without_a_key_does_not_run() {
     let deployment = Deployment::start("no-key");
-    let answer = deployment.complete("swk_0_0", "caption", 8);
-    assert_eq!(answer.status, 401);
-    assert!(answer.body.contains("\"ran\":\"no\""), "{}", answer.body);
+    let response = deployment.complete("swk_0_0", "caption", 8);
+    assert_eq!(response.status, 401);
+    assert!(
+        response.body.contains("\"ran\":\"no\""),
+        "{}",
+        response.body
+    );
 }
 
 #[test]
@@ -52,13 +56,13 @@
 fn a_router_that_stops_cuts_no_stream_and_no_waiting_request() {
     let mut deployment = Deployment::start("router-stops");
     let key = deployment.grant_key("daily");
-    assert_whole(&deployment.complete(&key, "caption", 1), 1);
+    assert_complete(&deployment.complete(&key, "caption", 1), 1);
     let to = deployment.callers();
     let open: Vec<_> = (0..8).map(|_| stream(to, &key, "caption", 400)).collect();
     thread::sleep(Duration::from_millis(200));
     let router = deployment.terminate_router();
-    for answer in open {
-        assert_whole(&answer.join().expect("it is answered"), 400);
+    for response in open {
+        assert_complete(&response.join().expect("the request is answered"), 400);
     }
     let log = router.wait();
     assert!(log.contains("with 0 requests abandoned"), "{log}");
@@ -71,7 +75,7 @@
     let cold = stream(deployment.callers(), &key, "caption", 8);
     thread::sleep(Duration::from_millis(100));
     let router = deployment.terminate_router();
-    assert_whole(&cold.join().expect("it is answered"), 8);
+    assert_complete(&cold.join().expect("the request is answered"), 8);
     router.wait();
 }
 
@@ -79,27 +83,27 @@
 fn a_runner_that_stops_cuts_no_stream() {
     let mut deployment = Deployment::start("runner-stops");
     let key = deployment.grant_key("daily");
-    assert_whole(&deployment.complete(&key, "caption", 1), 1);
+    assert_complete(&deployment.complete(&key, "caption", 1), 1);
     let to = deployment.callers();
     let open: Vec<_> = (0..8).map(|_| stream(to, &key, "caption", 400)).collect();
     thread::sleep(Duration::from_millis(200));
     let runner = deployment.terminate("runner-0-0");
-    for answer in open {
-        assert_whole(&answer.join().expect("it is answered"), 400);
+    for response in open {
+        assert_complete(&response.join().expect("the request is answered"), 400);
     }
     runner.wait();
 }
 
 #[test]
 fn a_runner_that_stops_while_it_loads_cuts_no_request() {
-    let mut layout = Layout::of(&[(1, 2, 0)]);
+    let mut layout = Layout::from_counts(&[(1, 2, 0)]);
     layout.runner = json!({ "load": 2_000 });
     let mut deployment = Deployment::start_with("runner-stops-cold", &layout);
     let key = deployment.grant_key("daily");
     let cold = stream(deployment.callers(), &key, "caption", 8);
     let loading = deployment.wait_for_load();
     let runner = deployment.terminate(&loading);
-    assert_whole(&cold.join().expect("it is answered"), 8);
+    assert_complete(&cold.join().expect("the request is answered"), 8);
     runner.wait();
 }
 
@@ -117,9 +121,9 @@
     let open: Vec<_> = (0..8).map(call).collect();
     deployment.wait_for_runs(8);
     let service = deployment.terminate("licences-0-0");
-    for answer in open {
-        let answer = answer.join().expect("it is answered");
-        assert_eq!(answer.status, 200, "{}", answer.body);
+    for response in open {
+        let response = response.join().expect("the request is answered");
+        assert_eq!(response.status, 200, "{}", response.body);
     }
     service.wait();
 }
@@ -131,16 +135,16 @@
     let mut deployment = Deployment::start_with("cell-leader-stops", &layout);
     let key = deployment.grant_key("daily");
     let leader = deployment.leader(0);
-    let leading = deployment.router_of(&leader);
+    let leader_index = deployment.router_index(&leader);
     let at = |router| deployment.callers_of(router);
     let cold: Vec<_> = (0..deployment.routers())
         .map(|r| stream(at(r), &key, "caption", 8))
         .collect();
     deployment.wait_for_load();
     let router = deployment.terminate(&leader);
-    for answer in cold {
-        assert_whole(&answer.join().expect("it is answered"), 8);
+    for response in cold {
+        assert_complete(&response.join().expect("the request is answered"), 8);
     }
     router.wait();
-    deployment.wait_for_other_leader((leading + 1) % 3, &leader);
+    deployment.wait_for_other_leader((leader_index + 1) % 3, &leader);
 }
--- a/tests/replicas.rs
+++ b/tests/replicas.rs
@@ -1,6 +1,9 @@
-//! Two data centres that are cut off from each other, or each alone: no
-//! controller runs, and the other's router is stopped. What nobody had loaded is
-//! loaded by the data centre that holds it, and by no other.
+//! Tests that a disconnected data centre loads only the models allotted to it.
+//!
+//! No controller is reachable, and the data centres are disconnected from each
+//! other, or the router of the other one is suspended. A model that was not loaded
+//! before is then loaded by the data centre that holds its replica, and by no
+//! other.
 
 mod support;
 
@@ -11,10 +14,11 @@
 
 const MODELS: [&str; 6] = ["one", "two", "three", "four", "five", "six"];
 
-/// How long a request may wait in a data centre that cannot load its model.
+/// The deadline of a request in milliseconds, which limits the wait in a data
+/// centre that cannot load the model.
 const DEADLINE_MS: u64 = 5_000;
 
-/// Every model may be loaded once over both data centres, and stays loaded.
+/// Returns tables in which every model has one replica over both data centres.
 fn tables() -> Value {
     let model = |name: &&str| json!({ "name": name, "memory": 1_000, "replicas": 1 });
     let models: Vec<Value> = MODELS.iter().map(model).collect();
@@ -28,8 +32,8 @@
     })
 }
 
-/// Returns the models that the leader on a router may have loaded.
-fn shares(deployment: &Deployment, router: usize) -> BTreeSet<String> {
+/// Returns the models allotted to the data centre of a leading router.
+fn allotted_models(deployment: &Deployment, router: usize) -> BTreeSet<String> {
     let dump = deployment.dump(router);
     let shares = dump["shares"].as_array().cloned().unwrap_or_default();
     let held = shares.iter().filter(|s| s["count"].as_u64() > Some(0));
@@ -40,19 +44,19 @@
         .collect()
 }
 
-/// Waits until a router knows its data centre's cut-off share of the weight
-/// store, which it hears a few seconds after it has started.
+/// Waits until a router knows the share of the weight store that its data centre
+/// may use while disconnected, which it receives a few seconds after its start.
 fn wait_for_store_share(deployment: &Deployment, router: usize) {
     wait("the share of the store", || {
-        let purses = deployment.dump(router)["budgets"]["purses"].clone();
-        let share = |budget: &str| purses[budget]["purse"]["up"]["share"].as_u64();
+        let budgets_dump = deployment.dump(router)["budgets"]["purses"].clone();
+        let share = |budget: &str| budgets_dump[budget]["purse"]["up"]["share"].as_u64();
         let budgets = ["fleet:load-slots", "fleet:load-starts"];
         let all = budgets.iter().all(|b| share(b) > Some(0));
         all.then_some(()).ok_or(json!(budgets.map(share)))
     });
 }
 
-/// Waits until a router knows so many upstreams.
+/// Waits until a router knows a leader and exactly `count` upstreams.
 fn wait_for_upstreams(deployment: &Deployment, router: usize, count: u64) {
     wait("the upstreams", || {
         let status = deployment.dump(router)["status"].clone();
@@ -61,25 +65,31 @@
     });
 }
 
-/// Asks a router for every model at once and returns those that were served.
-fn serve(deployment: &Deployment, router: usize, key: &str) -> BTreeSet<String> {
-    let ask = |model: &'static str| {
-        let answer = deployment.complete_at(router, key, model, 2);
+/// Requests all models concurrently from a router and returns those that were
+/// served.
+fn request_models(deployment: &Deployment, router: usize, key: &str) -> BTreeSet<String> {
+    let request = |model: &'static str| {
+        let response = deployment.complete_at(router, key, model, 2);
         println!(
             "router {router}, {model}: {} {}",
-            answer.status, answer.body
+            response.status, response.body
         );
-        (answer.status == 200).then(|| model.to_owned())
+        (response.status == 200).then(|| model.to_owned())
     };
     thread::scope(|scope| {
-        let asked: Vec<_> = MODELS.iter().map(|m| scope.spawn(move || ask(m))).collect();
-        let served = asked.into_iter().map(|a| a.join().expect("it was asked"));
+        let requests: Vec<_> = MODELS
+            .iter()
+            .map(|m| scope.spawn(move || request(m)))
+            .collect();
+        let served = requests
+            .into_iter()
+            .map(|a| a.join().expect("the request does not panic"));
         served.flatten().collect()
     })
 }
 
-/// Returns the models of a data centre's runner, as a router knows it.
-fn loaded(deployment: &Deployment, router: usize, centre: usize) -> BTreeSet<String> {
+/// Returns the models loaded on a data centre's runner, as known to a router.
+fn loaded_models(deployment: &Deployment, router: usize, centre: usize) -> BTreeSet<String> {
     let upstreams = deployment.dump(router)["upstreams"].clone();
     let upstreams = upstreams.as_array().cloned().unwrap_or_default();
     let name = format!("runner-{centre}-0");
@@ -93,7 +103,7 @@
         .collect()
 }
 
-/// Starts a deployment with the models and a key.
+/// Starts a deployment, applies the tables and grants a key.
 fn start(name: &str, layout: &Layout) -> (Deployment, String) {
     let deployment = Deployment::start_with(name, layout);
     deployment.write("tables.json", &tables());
@@ -102,23 +112,23 @@
     (deployment, key)
 }
 
-/// Returns the models that each data centre holds, whose leaders run on the
-/// routers.
-fn held(deployment: &Deployment, leaders: [usize; 2]) -> [BTreeSet<String>; 2] {
+/// Waits until every model is allotted to a data centre and returns the models of
+/// each, given the indices of their leading routers.
+fn held_models(deployment: &Deployment, leaders: [usize; 2]) -> [BTreeSet<String>; 2] {
     let held = wait("every model to be held by one data centre", || {
-        let held = leaders.map(|router| shares(deployment, router));
+        let held = leaders.map(|router| allotted_models(deployment, router));
         let all = held.iter().map(BTreeSet::len).sum::<usize>() == MODELS.len();
         all.then(|| held.clone()).ok_or(json!(held))
     });
     println!("held: {held:?}");
     let some = held.iter().all(|h| !h.is_empty());
-    assert!(some, "each holds some: {held:?}");
+    assert!(some, "a data centre holds no model: {held:?}");
     held
 }
 
-/// Waits until a router's data centre has served what it holds, and checks that
-/// its runner was given nothing else.
-fn load_held(
+/// Waits until a router's data centre has served the models that it holds and
+/// checks that its runner has loaded no others.
+fn assert_loads_held(
     deployment: &Deployment,
     router: usize,
     centre: usize,
@@ -126,65 +136,65 @@
     held: &BTreeSet<String>,
 ) {
     wait("the held models to be served", || {
-        let served = serve(deployment, router, key);
+        let served = request_models(deployment, router, key);
         let all = served.is_superset(held);
         all.then_some(()).ok_or(json!([centre, served]))
     });
-    let loaded = loaded(deployment, router, centre);
-    let within = loaded.is_subset(held);
-    assert!(within, "data centre {centre}: {loaded:?}");
+    let loaded = loaded_models(deployment, router, centre);
+    let is_subset_of_held = loaded.is_subset(held);
+    assert!(is_subset_of_held, "data centre {centre}: {loaded:?}");
 }
 
-/// Waits until every model is served at both routers, and checks that none is
+/// Waits until every model is served by both routers and checks that none is
 /// loaded in both data centres.
-fn serve_all(deployment: &Deployment, routers: [usize; 2], key: &str) {
+fn assert_serves_all(deployment: &Deployment, routers: [usize; 2], key: &str) {
     for router in routers {
         wait_for_upstreams(deployment, router, 2);
     }
     let all: BTreeSet<String> = MODELS.iter().map(|m| (*m).to_owned()).collect();
     for router in routers {
         wait("every model to be served", || {
-            let served = serve(deployment, router, key);
+            let served = request_models(deployment, router, key);
             (served == all).then_some(()).ok_or(json!(served))
         });
-        let both = [0, 1].map(|centre| loaded(deployment, router, centre));
+        let both = [0, 1].map(|centre| loaded_models(deployment, router, centre));
         assert!(both[0].is_disjoint(&both[1]), "loaded twice: {both:?}");
     }
 }
 
 #[test]
 fn a_data_centre_that_is_cut_off_loads_what_it_holds_and_no_more() {
-    let layout = Layout::of(&[(1, 1, 0), (1, 1, 0)]);
+    let layout = Layout::from_counts(&[(1, 1, 0), (1, 1, 0)]);
     let (mut deployment, key) = start("replicas", &layout);
-    let held = held(&deployment, [0, 1]);
+    let held = held_models(&deployment, [0, 1]);
     (0..2).for_each(|router| wait_for_store_share(&deployment, router));
     deployment.kill_controllers();
     for (cut, other) in [(0, 1), (1, 0)] {
         let other = format!("entry-{other}");
         deployment.signal(&other, Signal::STOP);
-        load_held(&deployment, cut, cut, &key, &held[cut]);
+        assert_loads_held(&deployment, cut, cut, &key, &held[cut]);
         deployment.signal(&other, Signal::CONT);
     }
     deployment.start_process("control-1");
-    serve_all(&deployment, [0, 1], &key);
+    assert_serves_all(&deployment, [0, 1], &key);
 }
 
 #[test]
 fn a_new_leader_of_a_data_centre_that_is_cut_off_loads_what_it_holds() {
     let layout = Layout {
         cuts: true,
-        ..Layout::of(&[(1, 1, 0), (3, 1, 0)])
+        ..Layout::from_counts(&[(1, 1, 0), (3, 1, 0)])
     };
     let (mut deployment, key) = start("cut-replicas", &layout);
     let leader = deployment.leader(1);
-    let leading = deployment.router_of(&leader);
-    let held = held(&deployment, [0, leading]);
+    let leader_index = deployment.router_index(&leader);
+    let held = held_models(&deployment, [0, leader_index]);
     (0..deployment.routers()).for_each(|router| wait_for_store_share(&deployment, router));
     deployment.isolate("centre-1");
-    deployment.kill_router(leading);
-    let router = if leading == 1 { 2 } else { 1 };
-    load_held(&deployment, router, 1, &key, &held[1]);
-    load_held(&deployment, 0, 0, &key, &held[0]);
+    deployment.kill_router(leader_index);
+    let router = if leader_index == 1 { 2 } else { 1 };
+    assert_loads_held(&deployment, router, 1, &key, &held[1]);
+    assert_loads_held(&deployment, 0, 0, &key, &held[0]);
     deployment.heal();
-    serve_all(&deployment, [0, router], &key);
+    assert_serves_all(&deployment, [0, router], &key);
 }
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -1,40 +1,40 @@
-//! Scripted failures of real processes on loopback; each file under `scripts/`
-//! tells one.
+//! Scripted failures of separate processes on loopback, one for each file under
+//! `scripts/`.
 //!
 //! | command | meaning |
 //! |---|---|
-//! | `hosts routers=(2,1) ...` | starts a deployment; each number stands for one data centre: `centre-0`, `centre-1`; hosts are `entry-0`, `control-1`, `runner-0-0`, `licences-0-0` and so on |
+//! | `hosts routers=(2,1) ...` | starts a deployment; each number is the count for one data centre: `centre-0`, `centre-1`; hosts are `entry-0`, `control-1`, `runner-0-0`, `licences-0-0` and so on |
 //! | `... runners=(1,0) services=(1,0)` | upstreams of each data centre |
 //! | `... controllers=(0,1,1)` | the data centre of each controller |
-//! | `... disks grace=5` | routers have disks, and honour keys for 5 s when cut off |
-//! | `... work=100 slots=1` | a service's call takes 100 ms; it runs one at once |
-//! | `cut from=centre-0 to=entry-2` | cuts one direction between hosts or data centres |
-//! | `isolate name=centre-1` | cuts a host or data centre off from all others |
-//! | `heal` | undoes all cuts |
-//! | `kill name=entry-0`, `start name=entry-0` | ends a process as `kill -9` does; starts it again, a router until it answers |
-//! | `freeze name=entry-0`, `continue name=entry-0` | stops a process; lets it go on |
-//! | `terminate name=entry-0`, `ended name=entry-0` | plans the stop of a process; waits until it has ended well |
-//! | `leader`, `leader centre=0` | names the controller that leads `LEADER`, or the router that leads a data centre |
-//! | `grant key=k`, `withdraw key=k` | grants a key and waits until all routers know it; withdraws it by `sequoiactl` |
-//! | `edit customer=x` | an operator adds a customer |
-//! | `complete at=entry-0 key=k` | asks for a streamed completion |
+//! | `... disks grace=5` | routers keep state on disk and accept keys for 5 s while disconnected |
+//! | `... work=100 slots=1` | a service takes 100 ms per call and runs one at a time |
+//! | `cut from=centre-0 to=entry-2` | blocks traffic in one direction between hosts or data centres |
+//! | `isolate name=centre-1` | blocks all traffic between a host or data centre and all others |
+//! | `heal` | unblocks all traffic |
+//! | `kill name=entry-0`, `start name=entry-0` | kills a process with SIGKILL; restarts it and waits until a router responds |
+//! | `freeze name=entry-0`, `continue name=entry-0` | suspends a process; resumes it |
+//! | `terminate name=entry-0`, `ended name=entry-0` | sends SIGTERM to a process; waits until it has exited with success |
+//! | `leader`, `leader at=entry-0` | sets `LEADER` to the leading controller, or to the router that leads the data centre of `entry-0` |
+//! | `grant key=k`, `withdraw key=k` | grants a key and waits until all routers know it; withdraws it with `sequoiactl` |
+//! | `edit customer=x` | adds a customer to the tables |
+//! | `complete at=entry-0 key=k` | requests a streamed completion |
 //! | `call at=entry-0 key=k id=7` | calls the service with an idempotency key |
-//! | `... until=200` | sends it again until it is answered so |
-//! | `begin as=a`, `end as=a` | as `call`, but answered later: `begin as=a at=entry-0 key=k id=7` |
-//! | `runs`, `runs until=1` | the calls that the services ran; waits until there are so many |
-//! | `status at=entry-0 waiting=1` | waits until a router reports these numbers of itself |
-//! | `agreed` | waits until all hosts that run have one revision |
-//! | `wait ms=500` | lets time pass |
+//! | `... until=200` | repeats the request until the response starts with this status |
+//! | `begin as=a`, `end as=a` | starts a call in the background, with the arguments of `call`; waits for its response |
+//! | `runs`, `runs until=1` | prints the number of calls that the services have run; first waits until there are that many |
+//! | `status at=entry-0 waiting=1` | waits until a router's status has these values |
+//! | `agreed` | waits until all running hosts have the same revision |
+//! | `wait ms=500` | sleeps |
 
 #[path = "../support/mod.rs"]
 mod support;
 
-mod answer;
+mod response;
 mod script;
 
 use script::Script;
 
-/// Names each script and runs it.
+/// Defines a test for each script.
 macro_rules! scripts {
     ($($name:ident)*) => {
         const SCRIPTS: &[&str] = &[$(stringify!($name)),*];
@@ -45,7 +45,7 @@
                 let name = stringify!($name);
                 datadriven::walk(&format!("tests/scenarios/scripts/{name}.txt"), |file| {
                     let mut script = Script::new(name);
-                    file.run(|case| script.step(case) + "\n");
+                    file.run(|case| script.run_step(case) + "\n");
                 });
             }
         )*
@@ -68,9 +68,10 @@
 
 #[test]
 fn every_script_is_run() {
-    let files = std::fs::read_dir("tests/scenarios/scripts").expect("the scripts are here");
+    let files =
+        std::fs::read_dir("tests/scenarios/scripts").expect("the folder of scripts is readable");
     let mut names: Vec<String> = files
-        .map(|f| f.expect("a file").path())
+        .map(|f| f.expect("the entry is readable").path())
         .filter_map(|p| p.file_stem().map(|s| s.to_string_lossy().into_owned()))
         .collect();
     names.sort();
--- a/tests/scenarios/script.rs
+++ b/tests/scenarios/script.rs
@@ -1,10 +1,10 @@
-//! Carries out the commands of a script.
+//! Runs the commands of a script.
 
 use crate::{
-    answer::describe,
+    response::describe,
     support::{
         Deployment, Layout,
-        http::{Answer, try_post},
+        http::{Response, try_post},
         layout::Centre,
         process::Stopping,
         wait::wait,
@@ -19,26 +19,26 @@
     time::Duration,
 };
 
-/// The tokens that a completion asks for.
+/// The number of tokens of each completion.
 const TOKENS: u64 = 4;
 
-/// How long a call may wait for its answer to begin, in milliseconds; longer
-/// than an election.
+/// How long a call may wait for the start of its response, in milliseconds;
+/// longer than an election takes.
 const DEADLINE: &str = "20000";
 
-/// A script under way.
+/// The state of a running script.
 pub(crate) struct Script {
     name: &'static str,
     deployment: Option<Deployment>,
     keys: BTreeMap<String, String>,
-    begun: BTreeMap<String, JoinHandle<Option<Answer>>>,
+    pending_calls: BTreeMap<String, JoinHandle<Option<Response>>>,
     stopping: BTreeMap<String, Stopping>,
-    /// The host that `LEADER` stands for.
+    /// The host that `LEADER` refers to.
     leader: String,
     customers: Vec<String>,
-    /// The most replicas of the model: one for each runner.
+    /// The maximum number of replicas of the model: one for each runner.
     replicas: usize,
-    /// The highest revision that each host was seen with.
+    /// The highest revision that each host has reported.
     revisions: BTreeMap<String, u64>,
 }
 
@@ -48,7 +48,7 @@
             name,
             deployment: None,
             keys: BTreeMap::new(),
-            begun: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             stopping: BTreeMap::new(),
             leader: String::new(),
             customers: vec!["daily".to_owned()],
@@ -57,34 +57,34 @@
         }
     }
 
-    /// Carries out one command and returns what it says; a failed test shows
-    /// how far it came.
-    pub(crate) fn step(&mut self, case: &TestCase) -> String {
+    /// Runs one command and returns its output; both are printed to show the
+    /// progress of a failed test.
+    pub(crate) fn run_step(&mut self, case: &TestCase) -> String {
         println!("{} {:?}", case.directive, case.args);
-        let said = self.command(case);
-        println!("-> {said}");
-        said
+        let output = self.run_command(case);
+        println!("-> {output}");
+        output
     }
 
-    fn command(&mut self, case: &TestCase) -> String {
+    fn run_command(&mut self, case: &TestCase) -> String {
         let args = Args(case);
         match case.directive.as_str() {
-            "hosts" => self.hosts(&args),
+            "hosts" => self.start_hosts(&args),
             "cut" => self.deployment().cut(&args.text("from"), &args.text("to")),
             "isolate" => self.deployment().isolate(&args.text("name")),
             "heal" => self.deployment().heal(),
             "grant" => self.grant(&args.text("key")),
             "withdraw" => return self.withdraw(&args.text("key")),
             "edit" => return self.edit(args.text("customer")),
-            "complete" | "call" => return self.ask(case.directive == "call", &args),
-            "begin" => self.begin(&args),
-            "end" => return self.end(&args.text("as")),
+            "complete" | "call" => return self.send_request(case.directive == "call", &args),
+            "begin" => self.start_call(&args),
+            "end" => return self.finish_call(&args.text("as")),
             "runs" => return self.runs(&args),
             "status" => self.wait_for_status(&args),
             "leader" => return self.find_leader(&args),
-            "agreed" => return self.agreed(),
+            "agreed" => return self.wait_for_agreement(),
             "wait" => sleep(Duration::from_millis(args.number("ms"))),
-            process => self.process(process, &args.text("name")),
+            process => self.control_process(process, &args.text("name")),
         }
         "ok".to_owned()
     }
@@ -93,7 +93,7 @@
         self.deployment.as_ref().expect("the script starts hosts")
     }
 
-    fn hosts(&mut self, args: &Args) {
+    fn start_hosts(&mut self, args: &Args) {
         let routers = args.numbers("routers");
         let runners = args.numbers("runners");
         let services = args.numbers("services");
@@ -121,7 +121,7 @@
         self.deployment = Some(Deployment::start_with(self.name, &layout));
     }
 
-    fn process(&mut self, command: &str, name: &str) {
+    fn control_process(&mut self, command: &str, name: &str) {
         let name = if name == "LEADER" { &self.leader } else { name };
         let deployment = self.deployment.as_mut().expect("the script starts hosts");
         match command {
@@ -135,9 +135,9 @@
             }
             "ended" => {
                 let stopping = self.stopping.remove(name);
-                stopping.expect("it was asked to stop").wait();
+                stopping.expect("the process was asked to stop").wait();
             }
-            other => panic!("{other} is no command"),
+            other => panic!("unknown command: {other}"),
         }
     }
 
@@ -146,13 +146,13 @@
         self.keys.insert(key.to_owned(), granted);
     }
 
-    /// Withdraws a key and says which hosts have not confirmed.
+    /// Withdraws a key and returns which hosts have not confirmed.
     fn withdraw(&self, key: &str) -> String {
         let id = self.keys[key]
             .split('_')
             .nth(1)
-            .expect("it has an identifier");
-        let (code, errors) = self.deployment().ctl_fails(&["keys", "withdraw", id]);
+            .expect("the key has an identifier");
+        let (code, errors) = self.deployment().try_ctl(&["keys", "withdraw", id]);
         if code == Some(0) {
             return "confirmed by all".to_owned();
         }
@@ -163,7 +163,7 @@
         format!("not confirmed by {}", missing.join(", "))
     }
 
-    /// Adds a customer to the tables, by an operator who applies a whole file.
+    /// Adds a customer by applying a complete tables file.
     fn edit(&mut self, customer: String) -> String {
         self.customers.push(customer);
         let customers: Value = self
@@ -175,7 +175,7 @@
         tables["customers"] = customers;
         let deployment = self.deployment();
         deployment.write("tables.json", &tables);
-        match deployment.ctl_fails(&["apply", "tables.json"]) {
+        match deployment.try_ctl(&["apply", "tables.json"]) {
             (Some(0), _) => "accepted".to_owned(),
             (code, _) => {
                 self.customers.pop();
@@ -184,10 +184,11 @@
         }
     }
 
-    /// Prepares a request that can be sent more than once.
-    fn request(&self, is_call: bool, args: &Args) -> impl Fn() -> Option<Answer> + Send + use<> {
+    /// Returns a function that sends the request of a command, possibly more than
+    /// once.
+    fn request(&self, is_call: bool, args: &Args) -> impl Fn() -> Option<Response> + Send + use<> {
         let deployment = self.deployment();
-        let at = deployment.callers_of(deployment.router_of(&args.text("at")));
+        let at = deployment.callers_of(deployment.router_index(&args.text("at")));
         let key = self.keys[&args.text("key")].clone();
         let (path, body) = if is_call {
             ("/licences/grant", "grant".to_owned())
@@ -204,16 +205,16 @@
         }
     }
 
-    fn ask(&self, is_call: bool, args: &Args) -> String {
+    fn send_request(&self, is_call: bool, args: &Args) -> String {
         let request = self.request(is_call, args);
         if !args.has("until") {
             return describe(request().as_ref());
         }
-        let wanted = args.text("until");
-        wait("the wanted answer", || {
+        let expected = args.text("until");
+        wait("the expected response", || {
             let seen = describe(request().as_ref());
-            let is_wanted = seen.starts_with(&wanted);
-            if is_wanted {
+            let is_expected = seen.starts_with(&expected);
+            if is_expected {
                 Ok(seen)
             } else {
                 Err(json!(seen))
@@ -221,35 +222,39 @@
         })
     }
 
-    fn begin(&mut self, args: &Args) {
+    fn start_call(&mut self, args: &Args) {
         let request = self.request(true, args);
-        self.begun.insert(args.text("as"), thread::spawn(request));
+        self.pending_calls
+            .insert(args.text("as"), thread::spawn(request));
     }
 
-    fn end(&mut self, name: &str) -> String {
-        let begun = self.begun.remove(name).expect("it was begun");
-        describe(begun.join().expect("it ends").as_ref())
+    fn finish_call(&mut self, name: &str) -> String {
+        let call = self
+            .pending_calls
+            .remove(name)
+            .expect("the call was started");
+        describe(call.join().expect("the call ends").as_ref())
     }
 
     fn runs(&self, args: &Args) -> String {
         let deployment = self.deployment();
         if args.has("until") {
-            let wanted = usize::try_from(args.number("until")).expect("it fits");
-            deployment.wait_for_runs(wanted);
+            let expected = usize::try_from(args.number("until")).expect("the value fits");
+            deployment.wait_for_runs(expected);
         }
         deployment.runs().to_string()
     }
 
-    /// Waits until a router reports numbers of itself.
+    /// Waits until a router's status has the expected values.
     fn wait_for_status(&self, args: &Args) {
         let deployment = self.deployment();
-        let router = deployment.router_of(&args.text("at"));
+        let router = deployment.router_index(&args.text("at"));
         let numbers = args.0.args.keys().filter(|k| *k != "at");
-        let wanted: Vec<(&str, u64)> = numbers.map(|k| (k.as_str(), args.number(k))).collect();
+        let expected: Vec<(&str, u64)> = numbers.map(|k| (k.as_str(), args.number(k))).collect();
         wait("a router's status", || {
             let status = deployment.status(router);
-            let is_wanted = wanted.iter().all(|(k, n)| status[k] == *n);
-            is_wanted.then_some(()).ok_or(status)
+            let is_expected = expected.iter().all(|(k, n)| status[k] == *n);
+            is_expected.then_some(()).ok_or(status)
         });
     }
 
@@ -257,14 +262,14 @@
     fn find_leader(&mut self, args: &Args) -> String {
         let deployment = self.deployment();
         self.leader = if args.has("at") {
-            deployment.leader(deployment.router_of(&args.text("at")))
+            deployment.leader(deployment.router_index(&args.text("at")))
         } else {
             wait("a leader of the log", || {
-                let status = deployment.whole_status();
+                let status = deployment.full_status();
                 let controllers = status["controllers"].as_array().cloned();
                 let controllers = controllers.unwrap_or_default();
-                let leads = |c: &&Value| c["status"]["role"] == "leader";
-                let leader = controllers.iter().find(leads);
+                let is_leader = |c: &&Value| c["status"]["role"] == "leader";
+                let leader = controllers.iter().find(is_leader);
                 let host = leader.and_then(|c| c["status"]["host"].as_str());
                 host.map(str::to_owned).ok_or(status)
             })
@@ -272,19 +277,23 @@
         "ok".to_owned()
     }
 
-    /// Waits until all hosts that answer have one revision, the newest that any
-    /// of them was seen with.
-    fn agreed(&mut self) -> String {
+    /// Waits until all hosts that respond have the highest revision that any host
+    /// has reported.
+    fn wait_for_agreement(&mut self) -> String {
         let deployment = self.deployment.as_ref().expect("the script starts hosts");
         let seen = &mut self.revisions;
         wait("one revision", || {
-            let status = deployment.whole_status();
-            let hosts = hosts_of(&status);
+            let status = deployment.full_status();
+            let hosts = host_revisions(&status);
             for (host, revision) in &hosts {
                 let highest = seen.entry(host.clone()).or_default();
-                // A host without any tables yet serves nobody.
+                // A host reports revision 0 until it has tables; it serves no requests until
+                // then.
                 let is_older = *revision > 0 && revision < highest;
-                assert!(!is_older, "{host} reverted: {status}");
+                assert!(
+                    !is_older,
+                    "{host} went back from revision {highest} to {revision}: {status}"
+                );
                 *highest = *revision.max(highest);
             }
             let newest = seen.values().max();
@@ -295,8 +304,8 @@
     }
 }
 
-/// Returns the hosts that answer and the revision that each has in force.
-fn hosts_of(status: &Value) -> Vec<(String, u64)> {
+/// Returns the hosts that respond and the current revision of each.
+fn host_revisions(status: &Value) -> Vec<(String, u64)> {
     let groups = ["controllers", "routers"].iter();
     let hosts = groups.flat_map(|g| status[g].as_array().into_iter().flatten());
     let revision = |h: &Value| {
@@ -324,12 +333,12 @@
     }
 
     fn number(&self, name: &str) -> u64 {
-        self.text(name).parse().expect("it is a number")
+        self.text(name).parse().expect("the value is a number")
     }
 
     fn numbers(&self, name: &str) -> Vec<usize> {
         let values = self.0.args.get(name).into_iter().flatten();
-        let numbers = values.map(|v| v.trim().parse().expect("it is a number"));
+        let numbers = values.map(|v| v.trim().parse().expect("the value is a number"));
         numbers.collect()
     }
 }
--- a/tests/settings_page.rs
+++ b/tests/settings_page.rs
@@ -1,7 +1,7 @@
-//! Holds docs/SETTINGS.md to the settings in the code.
+//! Checks docs/SETTINGS.md against the settings in the code.
 //!
-//! The tables of the page are the doc comments and defaults of the settings.
-//! `UPDATE_PAGES=1 cargo test --test settings_page` writes them anew.
+//! The tables of the page are generated from the doc comments and defaults of the
+//! settings. `UPDATE_PAGES=1 cargo test --test settings_page` updates them.
 
 use sequoiawing::{
     controller::ControllerSettings,
@@ -62,14 +62,17 @@
 where
     S: Serialize,
 {
-    serde_json::to_value(settings).expect("settings are written as JSON")
+    serde_json::to_value(settings).expect("the settings can be written as JSON")
 }
 
 impl Section {
     /// Returns the fields of the struct with their doc comments.
     fn fields(&self) -> Vec<(String, String)> {
         let head = format!("pub struct {} {{\n", self.name);
-        let (_, body) = self.source.split_once(&head).expect("the struct is here");
+        let (_, body) = self
+            .source
+            .split_once(&head)
+            .expect("the source defines the struct");
         let (body, _) = body.split_once("\n}").expect("the struct ends");
         let mut doc = Vec::new();
         let mut fields = Vec::new();
@@ -97,7 +100,7 @@
         format!("| field | default | meaning |\n|---|---|---|\n{rows}")
     }
 
-    /// Returns the page with this section's table in its place.
+    /// Returns the page with this section's table replaced.
     fn write_into(&self, page: &str) -> String {
         let begin = format!("<!-- {}: begin -->\n", self.name);
         let end = format!("<!-- {}: end -->", self.name);
@@ -111,19 +114,19 @@
 
 #[test]
 fn the_page_has_every_field_default_and_meaning() {
-    let page = fs::read_to_string(PAGE).expect("the page can be read");
-    let mut wanted = page.clone();
+    let page = fs::read_to_string(PAGE).expect("the page is readable");
+    let mut expected = page.clone();
     for section in sections() {
-        wanted = section.write_into(&wanted);
+        expected = section.write_into(&expected);
     }
     if std::env::var_os("UPDATE_PAGES").is_some() {
-        fs::write(PAGE, &wanted).expect("the page can be written");
+        fs::write(PAGE, &expected).expect("the page is writable");
         return;
     }
-    let is_current = page == wanted;
+    let is_current = page == expected;
     assert!(
         is_current,
-        "run `UPDATE_PAGES=1 cargo test --test settings_page`"
+        "docs/SETTINGS.md is out of date: run `UPDATE_PAGES=1 cargo test --test settings_page`"
     );
 }
 
@@ -137,7 +140,7 @@
         for field in defaults.keys() {
             assert!(
                 fields.contains(field),
-                "{}.{field} is not found",
+                "{}.{field} is not a field of the struct",
                 section.name
             );
         }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,5 +1,5 @@
-//! Runs routers of three data centres as separate processes over one weight
-//! store, and counts the loads that it serves at once.
+//! Tests that three data centres with a shared weight store do not exceed its
+//! limit of concurrent loads.
 
 mod support;
 
@@ -15,14 +15,14 @@
     store::StoreCounter,
 };
 
-/// The loads that the tables below allow at once, over all data centres.
+/// The limit of concurrent loads over all data centres.
 const SLOTS: u32 = 4;
 
-/// The models of each of the two bursts.
+/// The number of models in each of the two bursts.
 const MODELS: usize = 20;
 
-/// The tokens of each answer.
-const ANSWER: u64 = 1;
+/// The number of tokens in each response.
+const RESPONSE_TOKENS: u64 = 1;
 
 fn tables() -> Value {
     let model = |i: usize| json!({ "name": format!("model-{i}"), "memory": 500, "replicas": 1 });
@@ -50,9 +50,9 @@
     }
 }
 
-/// Asks for one model after the other through all given routers at once, and
-/// returns how many were answered.
-fn burst(deployment: &Deployment, key: &str, first: usize, routers: &[usize]) -> usize {
+/// Requests models concurrently through the given routers and returns how many
+/// requests were answered.
+fn request_models(deployment: &Deployment, key: &str, first: usize, routers: &[usize]) -> usize {
     let answered = AtomicUsize::new(0);
     thread::scope(|scope| {
         for i in 0..MODELS {
@@ -60,8 +60,8 @@
             let answered = &answered;
             scope.spawn(move || {
                 let model = format!("model-{}", first + i);
-                let answer = deployment.complete_at(router, key, &model, ANSWER);
-                assert_eq!(answer.status, 200, "{model}: {}", answer.body);
+                let response = deployment.complete_at(router, key, &model, RESPONSE_TOKENS);
+                assert_eq!(response.status, 200, "{model}: {}", response.body);
                 answered.fetch_add(1, Ordering::Relaxed);
             });
         }
@@ -76,22 +76,22 @@
     deployment.write("tables.json", &tables());
     deployment.ctl(&["apply", "tables.json"]);
     let key = deployment.grant_key("daily");
-    let answered = burst(&deployment, &key, 0, &[0, 1, 2, 3, 4]);
+    let answered = request_models(&deployment, &key, 0, &[0, 1, 2, 3, 4]);
     println!("connected: {answered} of {MODELS}, {:?}", store.counts());
     assert_eq!(answered, MODELS);
-    assert!(store.counts().most <= SLOTS, "{:?}", store.counts());
+    assert!(store.counts().peak <= SLOTS, "{:?}", store.counts());
 
-    // A leader dies while loads run; its successor counts them.
-    let leader = deployment.router_of(&deployment.leader(0));
+    // A leader is killed while loads run; its successor must count them.
+    let leader = deployment.router_index(&deployment.leader(0));
     let others: Vec<usize> = (0..5).filter(|r| *r != leader).collect();
-    let warming = store.counts().begun;
+    let loads_before = store.counts().started;
     thread::scope(|scope| {
-        let bursting = scope.spawn(|| burst(&deployment, &key, MODELS, &others));
-        while store.counts().begun == warming {
+        let requests = scope.spawn(|| request_models(&deployment, &key, MODELS, &others));
+        while store.counts().started == loads_before {
             thread::sleep(Duration::from_millis(5));
         }
-        deployment.signal_router(leader);
-        let answered = bursting.join().expect("all are answered");
+        deployment.send_kill(leader);
+        let answered = requests.join().expect("all requests are answered");
         println!(
             "leader killed: {answered} of {MODELS}, {:?}",
             store.counts()
@@ -99,5 +99,5 @@
         assert_eq!(answered, MODELS);
     });
     deployment.kill_router(leader);
-    assert!(store.counts().most <= SLOTS, "{:?}", store.counts());
+    assert!(store.counts().peak <= SLOTS, "{:?}", store.counts());
 }
--- a/tests/support/addresses.rs
+++ b/tests/support/addresses.rs
@@ -1,18 +1,18 @@
-//! Addresses on loopback for the daemons of a test.
+//! Loopback addresses for the daemons of a test.
 
 use std::{
     net::SocketAddr,
     sync::atomic::{AtomicU16, Ordering},
 };
 
-/// The first port of a test process; later ones count on.
+/// The next port that this test process hands out.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
 
 /// Returns addresses that nothing else uses.
 ///
-/// Each test process has an address of loopback of its own: a port that the
-/// system picked and that was released again can be taken by another process,
-/// or by a connection on its way out, before the daemon binds it.
+/// Each test process uses a loopback address of its own. A port picked by the
+/// system and released again could be taken by another process or by an
+/// outgoing connection before the daemon binds it.
 pub(crate) fn free_addresses<const N: usize>() -> [SocketAddr; N] {
     [(); N].map(|()| free_address())
 }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,4 +1,4 @@
-//! Starts three controllers as processes, each with a disk of its own.
+//! Starts three controllers as processes, each with its own data folder.
 
 use super::{addresses::free_addresses, process::program};
 use sequoiawing::{
@@ -19,13 +19,13 @@
 };
 
 const SECRET: &str = "secret-of-the-tests";
-const PATIENCE: Duration = Duration::from_mins(1);
-const PAUSE: Duration = Duration::from_millis(50);
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-type Answer<T> = Result<Result<T, ControlError>, LinkError>;
+type CallResult<T> = Result<Result<T, ControlError>, LinkError>;
 
-/// Three controllers, ended when they are dropped.
+/// Three controllers, killed on drop.
 pub(crate) struct Controllers {
     folder: PathBuf,
     addresses: [SocketAddr; 3],
@@ -38,7 +38,7 @@
         let name = format!("sequoiawing-controllers-{name}-{}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::remove_dir_all(&folder).ok();
-        fs::create_dir_all(&folder).expect("the folder can be made");
+        fs::create_dir_all(&folder).expect("the folder can be created");
         let controllers = Self {
             folder,
             addresses: free_addresses(),
@@ -59,7 +59,7 @@
         self.folder.join(format!("data-{i}"))
     }
 
-    /// Starts one controller, on whatever its disk holds.
+    /// Starts one controller with the current contents of its data folder.
     pub(crate) fn spawn(&self, i: usize) {
         let voter = |i| json!({ "host": self.host(i), "address": self.addresses[i] });
         let settings = json!({
@@ -67,70 +67,82 @@
             "data": self.data(i), "voters": [voter(0), voter(1), voter(2)],
         });
         let path = self.folder.join(format!("{i}.json"));
-        fs::write(&path, settings.to_string()).expect("the file is written");
-        let log = fs::File::create(self.folder.join(format!("{i}.log"))).expect("a log");
+        fs::write(&path, settings.to_string()).expect("the file is writable");
+        let log = fs::File::create(self.folder.join(format!("{i}.log")))
+            .expect("the log file can be opened");
         let child = Process::new(program("sequoiawing-controller"))
             .arg(path)
-            .stdout(log.try_clone().expect("a second handle"))
+            .stdout(log.try_clone().expect("the log file can be cloned"))
             .stderr(log)
             .spawn()
             .expect("the controller starts");
-        *self.children[i].lock().expect("no panic") = Some(child);
+        *self.children[i].lock().expect("the lock is not poisoned") = Some(child);
     }
 
-    /// Ends one controller as `kill -9` does.
+    /// Kills one controller with SIGKILL.
     pub(crate) fn kill(&self, i: usize) {
-        if let Some(mut child) = self.children[i].lock().expect("no panic").take() {
-            child.kill().expect("it can be killed");
-            child.wait().expect("it ends");
+        if let Some(mut child) = self.children[i]
+            .lock()
+            .expect("the lock is not poisoned")
+            .take()
+        {
+            child.kill().expect("the controller can be killed");
+            child.wait().expect("the controller ends");
         }
     }
 
     /// Sends a signal to one controller.
     pub(crate) fn signal(&self, i: usize, signal: &str) {
-        let child = self.children[i].lock().expect("no panic");
-        let id = child.as_ref().expect("it runs").id().to_string();
+        let child = self.children[i].lock().expect("the lock is not poisoned");
+        let id = child
+            .as_ref()
+            .expect("the controller runs")
+            .id()
+            .to_string();
         let kill = Process::new("kill").args(["-s", signal, &id]).status();
         assert!(kill.is_ok_and(|s| s.success()), "the signal is sent");
     }
 
-    /// Waits until one controller ends; reports whether it ended well.
+    /// Waits until one controller exits and returns whether it exited with success.
     pub(crate) fn wait_for_exit(&self, i: usize) -> bool {
-        let mut child = self.children[i].lock().expect("no panic").take();
-        let child = child.as_mut().expect("it runs");
+        let mut child = self.children[i]
+            .lock()
+            .expect("the lock is not poisoned")
+            .take();
+        let child = child.as_mut().expect("the controller runs");
         let start = Instant::now();
         loop {
-            if let Some(status) = child.try_wait().expect("it can be waited for") {
+            if let Some(status) = child.try_wait().expect("the process can be waited for") {
                 return status.success();
             }
-            if start.elapsed() > PATIENCE {
+            if start.elapsed() > TIMEOUT {
                 child.kill().ok();
                 child.wait().ok();
-                panic!("the controller does not end");
+                panic!("the controller did not exit in time");
             }
-            sleep(PAUSE);
+            sleep(POLL_INTERVAL);
         }
     }
 
-    /// Loses the disk of a controller that does not run.
+    /// Deletes the data folder of a controller that does not run.
     pub(crate) fn wipe(&self, i: usize) {
-        fs::remove_dir_all(self.data(i)).expect("the disk is wiped");
+        fs::remove_dir_all(self.data(i)).expect("the data folder can be deleted");
     }
 
-    /// Flips a bit early in the log of a controller that does not run.
+    /// Flips a bit near the start of the log of a controller that does not run.
     pub(crate) fn flip_bit(&self, i: usize) {
         let entries = fs::read_dir(self.data(i)).expect("the folder exists");
-        let mut paths = entries.map(|e| e.expect("an entry").path());
+        let mut paths = entries.map(|e| e.expect("the entry is readable").path());
         let is_segment = |p: &PathBuf| p.extension().is_some_and(|e| e == "segment");
-        let file = paths.find(is_segment).expect("there is a segment");
-        let mut bytes = fs::read(&file).expect("it is read");
+        let file = paths.find(is_segment).expect("the log has a segment");
+        let mut bytes = fs::read(&file).expect("the file is readable");
         bytes[40] ^= 1;
-        fs::write(&file, bytes).expect("it is damaged");
+        fs::write(&file, bytes).expect("the damaged segment is written");
     }
 
-    /// Returns what one controller has logged since it was started last.
+    /// Returns what one controller has logged since its last start.
     pub(crate) fn log(&self, i: usize) -> String {
-        fs::read_to_string(self.folder.join(format!("{i}.log"))).expect("it is read")
+        fs::read_to_string(self.folder.join(format!("{i}.log"))).expect("the file is readable")
     }
 
     fn stub(&self, i: usize) -> Stub<ControlClient> {
@@ -140,69 +152,74 @@
     pub(crate) fn status(&self, i: usize) -> Option<ControlStatus> {
         let stub = self.stub(i);
         let call = stub.call(
-            CALL_LIMIT,
+            CALL_TIMEOUT,
             |c, context| async move { c.status(context).await },
         );
         run(Box::pin(call)).ok()
     }
 
-    pub(crate) fn propose_at(&self, i: usize, command: &Command) -> Answer<Outcome> {
+    pub(crate) fn propose_at(&self, i: usize, command: &Command) -> CallResult<Outcome> {
         let command = command.clone();
         let stub = self.stub(i);
-        let call = stub.call(PATIENCE, |c, context| async move {
+        let call = stub.call(TIMEOUT, |c, context| async move {
             c.propose(context, command).await
         });
         run(Box::pin(call))
     }
 
-    pub(crate) fn read_at(&self, i: usize) -> Answer<Tables> {
+    pub(crate) fn read_at(&self, i: usize) -> CallResult<Tables> {
         let stub = self.stub(i);
-        let call = stub.call(PATIENCE, |c, context| async move { c.read(context).await });
+        let call = stub.call(TIMEOUT, |c, context| async move { c.read(context).await });
         run(Box::pin(call))
     }
 
-    /// Proposes until a controller answers, always with the same request id.
+    /// Proposes until a controller answers, always with the same request ID.
     pub(crate) fn propose(&self, command: &Command) -> Outcome {
-        self.until_answered(|i| {
+        self.retry_until_answered(|i| {
             let command = command.clone();
             let stub = self.stub(i);
-            let call = stub.call(CALL_LIMIT, |c, context| async move {
+            let call = stub.call(CALL_TIMEOUT, |c, context| async move {
                 c.propose(context, command).await
             });
             run(Box::pin(call))
         })
     }
 
-    /// Reads at whichever controller leads.
+    /// Reads the tables from the leading controller.
     pub(crate) fn read(&self) -> Tables {
-        self.until_answered(|i| {
+        self.retry_until_answered(|i| {
             let stub = self.stub(i);
             let call = stub.call(
-                CALL_LIMIT,
+                CALL_TIMEOUT,
                 |c, context| async move { c.read(context).await },
             );
             run(Box::pin(call))
         })
     }
 
-    fn until_answered<T, F>(&self, ask: F) -> T
+    fn retry_until_answered<T, F>(&self, call: F) -> T
     where
-        F: Fn(usize) -> Answer<T>,
+        F: Fn(usize) -> CallResult<T>,
     {
         let start = Instant::now();
         loop {
-            let runs = |i: &usize| self.children[*i].lock().expect("no panic").is_some();
-            for i in (0..3).filter(runs) {
-                if let Ok(Ok(answer)) = ask(i) {
-                    return answer;
+            let is_running = |i: &usize| {
+                self.children[*i]
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .is_some()
+            };
+            for i in (0..3).filter(is_running) {
+                if let Ok(Ok(response)) = call(i) {
+                    return response;
                 }
             }
-            assert!(start.elapsed() < PATIENCE, "no controller answers");
-            sleep(PAUSE);
+            assert!(start.elapsed() < TIMEOUT, "no controller answered in time");
+            sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until what one controller reports meets the condition.
+    /// Waits until the status of one controller meets the condition.
     pub(crate) fn wait_for<F>(&self, i: usize, condition: F)
     where
         F: Fn(&ControlStatus) -> bool,
@@ -214,10 +231,10 @@
                 return;
             }
             assert!(
-                start.elapsed() < PATIENCE,
-                "it never came about: {status:?}"
+                start.elapsed() < TIMEOUT,
+                "timed out waiting for the status: {status:?}"
             );
-            sleep(PAUSE);
+            sleep(POLL_INTERVAL);
         }
     }
 
@@ -226,35 +243,40 @@
         self.wait_for_other_leader(usize::MAX)
     }
 
-    /// Waits for a leader other than one controller, which is not asked.
-    pub(crate) fn wait_for_other_leader(&self, not: usize) -> usize {
+    /// Waits for a leader other than the excluded controller, which is not queried.
+    pub(crate) fn wait_for_other_leader(&self, excluded: usize) -> usize {
         let start = Instant::now();
         loop {
-            let running = |i: &usize| self.children[*i].lock().expect("no panic").is_some();
-            let asked = (0..3).filter(|i| *i != not).filter(running);
-            let leads = |i: &usize| self.status(*i).is_some_and(|s| s.role == "leader");
-            if let Some(leader) = asked.into_iter().find(leads) {
+            let is_running = |i: &usize| {
+                self.children[*i]
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .is_some()
+            };
+            let candidates = (0..3).filter(|i| *i != excluded).filter(is_running);
+            let is_leader = |i: &usize| self.status(*i).is_some_and(|s| s.role == "leader");
+            if let Some(leader) = candidates.into_iter().find(is_leader) {
                 return leader;
             }
-            assert!(start.elapsed() < PATIENCE, "no leader is elected");
-            sleep(PAUSE);
+            assert!(start.elapsed() < TIMEOUT, "no leader was elected in time");
+            sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until so many controllers lead or follow.
+    /// Waits until `count` controllers are leader or follower.
     pub(crate) fn wait_for_voters(&self, count: usize) {
         let start = Instant::now();
         loop {
             let statuses: Vec<_> = (0..3).filter_map(|i| self.status(i)).collect();
-            let votes = |s: &&ControlStatus| s.role == "leader" || s.role == "follower";
-            if statuses.iter().filter(votes).count() >= count {
+            let is_voter = |s: &&ControlStatus| s.role == "leader" || s.role == "follower";
+            if statuses.iter().filter(is_voter).count() >= count {
                 return;
             }
             assert!(
-                start.elapsed() < PATIENCE,
+                start.elapsed() < TIMEOUT,
                 "voters are missing: {statuses:?}"
             );
-            sleep(PAUSE);
+            sleep(POLL_INTERVAL);
         }
     }
 }
--- a/tests/support/ctl.rs
+++ b/tests/support/ctl.rs
@@ -7,7 +7,11 @@
 };
 
 impl Deployment {
-    /// Runs `sequoiactl` and returns what it printed.
+    /// Runs `sequoiactl` and returns its standard output.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the command fails.
     pub(crate) fn ctl(&self, args: &[&str]) -> String {
         let output = self.run_ctl(args);
         let errors = String::from_utf8_lossy(&output.stderr);
@@ -15,8 +19,8 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Runs `sequoiactl` and returns its exit code and what it printed as error.
-    pub(crate) fn ctl_fails(&self, args: &[&str]) -> (Option<i32>, String) {
+    /// Runs `sequoiactl` and returns its exit code and its standard error.
+    pub(crate) fn try_ctl(&self, args: &[&str]) -> (Option<i32>, String) {
         let output = self.run_ctl(args);
         let errors = String::from_utf8_lossy(&output.stderr).into_owned();
         (output.status.code(), errors)
@@ -28,11 +32,13 @@
         command.output().expect("sequoiactl runs")
     }
 
-    /// Runs `sequoiactl edit` with a shell script as editor, in which `$CTL` is
-    /// `sequoiactl` and `$1` the file, and returns the exit code and the errors.
+    /// Runs `sequoiactl edit` with a shell script as editor and returns its exit
+    /// code and its standard error.
+    ///
+    /// In the script, `$CTL` is `sequoiactl` and `$1` the file to edit.
     pub(crate) fn ctl_edit(&self, script: &str) -> (Option<i32>, String) {
         let file = self.folder.join("editor.sh");
-        fs::write(&file, script).expect("the script is written");
+        fs::write(&file, script).expect("the script is writable");
         let output = Command::new(program("sequoiactl"))
             .current_dir(&self.folder)
             .arg("edit")
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -1,7 +1,7 @@
 //! A small deployment as separate processes.
 
 use super::{
-    http::{Answer, post_with, try_post},
+    http::{Response, post_with, try_post},
     layout::{Layout, tables},
     network::Network,
     plan::{Plan, RouterProcess},
@@ -17,7 +17,7 @@
     path::PathBuf,
 };
 
-/// A running deployment, ended when it is dropped.
+/// A running deployment, killed on drop.
 pub(crate) struct Deployment {
     pub(super) folder: PathBuf,
     plan: Plan,
@@ -29,17 +29,18 @@
 
 impl Deployment {
     /// Starts a controller, a router, a runner and a service, and waits until
-    /// they have found each other.
+    /// they have discovered each other.
     pub(crate) fn start(name: &str) -> Self {
         Self::start_with(name, &Layout::single())
     }
 
-    /// Starts what the layout says, and waits until all have found each other.
+    /// Starts the processes of a layout and waits until they have discovered each
+    /// other.
     pub(crate) fn start_with(name: &str, layout: &Layout) -> Self {
         let folder =
             std::env::temp_dir().join(format!("sequoiawing-{name}-{}", std::process::id()));
         fs::remove_dir_all(&folder).ok();
-        fs::create_dir_all(&folder).expect("the folder can be made");
+        fs::create_dir_all(&folder).expect("the folder can be created");
         let plan = Plan::new(layout);
         let mut network = layout.cuts.then(Network::default);
         let controllers = plan.controllers(&folder, &mut network);
@@ -57,16 +58,16 @@
         (0..deployment.routers.len()).for_each(|i| deployment.start_router(i));
         deployment.write("deployment.json", &deployment.plan.deployment());
         deployment.write("tables.json", &tables(layout.replicas));
-        deployment.apply_first();
+        deployment.apply_initial_tables();
         deployment.upstreams.iter_mut().for_each(Process::start);
-        deployment.settle();
+        deployment.wait_until_ready();
         deployment
     }
 
-    /// Applies the tables, again until the controllers have a leader.
-    fn apply_first(&self) {
+    /// Applies the tables and retries until the controllers have a leader.
+    fn apply_initial_tables(&self) {
         wait("the tables to be accepted", || {
-            let (code, errors) = self.ctl_fails(&["apply", "tables.json"]);
+            let (code, errors) = self.try_ctl(&["apply", "tables.json"]);
             (code == Some(0)).then_some(()).ok_or(json!(errors))
         });
     }
@@ -76,7 +77,7 @@
         self.routers.len()
     }
 
-    /// Starts a router, or starts it again at the same addresses.
+    /// Starts or restarts a router at its fixed addresses.
     pub(crate) fn start_router(&mut self, router: usize) {
         self.routers[router].process.start();
     }
@@ -86,8 +87,9 @@
         self.routers[router].process.kill();
     }
 
-    /// Kills a router while others use the deployment; it is reaped later.
-    pub(crate) fn signal_router(&self, router: usize) {
+    /// Sends SIGKILL to a router without waiting for its exit, so that other
+    /// threads can go on using the deployment.
+    pub(crate) fn send_kill(&self, router: usize) {
         self.routers[router].process.signal(Signal::KILL);
     }
 
@@ -105,25 +107,25 @@
         found.unwrap_or_else(|| panic!("no process is named {name}"))
     }
 
-    /// Starts a process by its name, or starts it again.
+    /// Starts or restarts a process by name.
     pub(crate) fn start_process(&mut self, name: &str) {
         self.process(name).start();
     }
 
-    /// Starts a process and waits, if it is a router, until it answers.
+    /// Starts a process and, if it is a router, waits until it responds.
     pub(crate) fn start_and_wait(&mut self, name: &str) {
         self.start_process(name);
         let router = self.routers.iter().position(|r| r.process.name == name);
         let Some(router) = router else {
             return;
         };
-        wait("the router to answer", || {
+        wait("the router to respond", || {
             let status = self.status(router);
             status.is_object().then_some(()).ok_or(status)
         });
     }
 
-    /// Ends a process as `kill -9` does.
+    /// Kills a process with SIGKILL.
     pub(crate) fn kill(&mut self, name: &str) {
         self.process(name).kill();
     }
@@ -133,51 +135,54 @@
         self.process(name).signal(signal);
     }
 
-    /// Asks a process to stop, and returns it to be waited for.
+    /// Sends SIGTERM to a process and returns a handle to wait for its exit.
     pub(crate) fn terminate(&mut self, name: &str) -> Stopping {
         self.process(name).terminate()
     }
 
-    /// Cuts what the hosts of one name send to those of another; a name is a
-    /// host's or a data centre's.
+    /// Blocks traffic from the hosts named `from` to those named `to`; each name
+    /// is a host or a data centre.
     pub(crate) fn cut(&self, from: &str, to: &str) {
-        let network = self.network.as_ref().expect("the layout has cuts");
-        for from in self.plan.named(from) {
-            for to in self.plan.named(to) {
+        let network = self.network.as_ref().expect("the layout allows cuts");
+        for from in self.plan.matching_hosts(from) {
+            for to in self.plan.matching_hosts(to) {
                 network.cut(&from, &to);
             }
         }
     }
 
-    /// Cuts a host or a data centre off from all others.
+    /// Blocks all traffic between a host or data centre and all other hosts.
     pub(crate) fn isolate(&self, name: &str) {
-        let network = self.network.as_ref().expect("the layout has cuts");
-        let inside = self.plan.named(name);
-        assert!(!inside.is_empty(), "nothing is named {name}");
+        let network = self.network.as_ref().expect("the layout allows cuts");
+        let members = self.plan.matching_hosts(name);
+        assert!(
+            !members.is_empty(),
+            "no host or data centre is named {name}"
+        );
         let all = self.plan.names();
-        for other in all.iter().filter(|n| !inside.contains(n)) {
-            for host in &inside {
+        for other in all.iter().filter(|n| !members.contains(n)) {
+            for host in &members {
                 network.cut(host, other);
                 network.cut(other, host);
             }
         }
     }
 
-    /// Undoes all cuts.
+    /// Unblocks all traffic.
     pub(crate) fn heal(&self) {
-        let network = self.network.as_ref().expect("the layout has cuts");
+        let network = self.network.as_ref().expect("the layout allows cuts");
         network.heal();
     }
 
-    /// Returns a router's whole state.
+    /// Returns a router's full state.
     pub(crate) fn dump(&self, router: usize) -> Value {
         let dump = self.ctl(&["dump", &self.routers[router].process.name]);
         let dump: Value = serde_json::from_str(&dump).expect("the dump is JSON");
         dump["router"].clone()
     }
 
-    /// Returns the host that a router takes for the leader of its data centre,
-    /// once it knows one.
+    /// Waits until a router knows a leader of its data centre and returns the
+    /// leader's host.
     pub(crate) fn leader(&self, router: usize) -> String {
         wait("a leader", || {
             let status = self.status(router);
@@ -186,17 +191,20 @@
         })
     }
 
-    /// Waits until a router takes another host for the leader.
-    pub(crate) fn wait_for_other_leader(&self, router: usize, not: &str) {
+    /// Waits until a router knows a leader other than `excluded`.
+    pub(crate) fn wait_for_other_leader(&self, router: usize, excluded: &str) {
         wait("another leader", || {
             let status = self.status(router);
             let leader = status["leader"].as_str();
-            leader.is_some_and(|l| l != not).then_some(()).ok_or(status)
+            leader
+                .is_some_and(|l| l != excluded)
+                .then_some(())
+                .ok_or(status)
         });
     }
 
-    /// Returns the number of the router that runs on a host.
-    pub(crate) fn router_of(&self, host: &str) -> usize {
+    /// Returns the index of the router that runs on a host.
+    pub(crate) fn router_index(&self, host: &str) -> usize {
         let position = self.routers.iter().position(|r| r.process.name == host);
         position.unwrap_or_else(|| panic!("no router runs on {host}"))
     }
@@ -221,67 +229,76 @@
         let mut text = String::new();
         stream
             .read_to_string(&mut text)
-            .expect("the answer is read");
+            .expect("the response is readable");
         text
     }
 
-    /// Waits until a router answers and the key is in force on it.
+    /// Waits until a router responds and accepts the key.
     pub(crate) fn wait_for_key(&self, router: usize, key: &str) {
         let body = json!({ "model": "no-such-model", "prompt": "p", "max_tokens": 1 }).to_string();
         wait("the key", || {
             let to = self.routers[router].callers;
-            let answer = try_post(to, "/v1/completions", key, &[], &body);
-            let known = answer.as_ref().is_some_and(|a| a.status == 404);
-            let seen = || json!(answer.map(|a| a.body));
-            known.then_some(()).ok_or_else(seen)
+            let response = try_post(to, "/v1/completions", key, &[], &body);
+            let is_known = response.as_ref().is_some_and(|a| a.status == 404);
+            let seen = || json!(response.map(|a| a.body));
+            is_known.then_some(()).ok_or_else(seen)
         });
     }
 
-    /// Sends a streamed completion to the first router and reads the whole
-    /// answer.
-    pub(crate) fn complete(&self, key: &str, model: &str, tokens: u64) -> Answer {
+    /// Sends a streamed completion to the first router and reads the complete
+    /// response.
+    pub(crate) fn complete(&self, key: &str, model: &str, tokens: u64) -> Response {
         self.complete_at(0, key, model, tokens)
     }
 
-    /// Sends a streamed completion to a router and reads the whole answer.
-    pub(crate) fn complete_at(&self, router: usize, key: &str, model: &str, tokens: u64) -> Answer {
+    /// Sends a streamed completion to a router and reads the complete response.
+    pub(crate) fn complete_at(
+        &self,
+        router: usize,
+        key: &str,
+        model: &str,
+        tokens: u64,
+    ) -> Response {
         let body = json!({ "model": model, "prompt": "p", "max_tokens": tokens, "stream": true });
         self.post(router, "/v1/completions", key, &body.to_string())
     }
 
-    /// Sends a request to a router and reads the whole answer.
-    pub(crate) fn post(&self, router: usize, path: &str, key: &str, body: &str) -> Answer {
+    /// Sends a request to a router and reads the complete response.
+    pub(crate) fn post(&self, router: usize, path: &str, key: &str, body: &str) -> Response {
         post_with(self.routers[router].callers, path, key, &[], body)
     }
 
-    /// Returns where callers of the first router connect.
+    /// Returns the address for callers of the first router.
     pub(crate) fn callers(&self) -> SocketAddr {
         self.callers_of(0)
     }
 
-    /// Returns where callers of a router connect.
+    /// Returns the address for callers of a router.
     pub(crate) fn callers_of(&self, router: usize) -> SocketAddr {
         self.routers[router].callers
     }
 
-    /// Asks the first router to stop, and returns it to be waited for.
+    /// Sends SIGTERM to the first router and returns a handle to wait for its exit.
     pub(crate) fn terminate_router(&mut self) -> Stopping {
         self.routers[0].process.terminate()
     }
 
-    /// Returns the lines of a service's journal: the time in milliseconds and
-    /// what happened.
+    /// Returns the entries of a service's journal, each with its time in
+    /// milliseconds.
     pub(crate) fn journal(&self, service: &str) -> Vec<(u64, String)> {
         let file = self.folder.join(format!("{service}.journal"));
         let text = fs::read_to_string(file).unwrap_or_default();
         let line = |l: &str| {
-            let (millis, what) = l.split_once(' ').expect("a line has a time");
-            (millis.parse().expect("it is a number"), what.to_owned())
+            let (millis, what) = l.split_once(' ').expect("the line has a time");
+            (
+                millis.parse().expect("the value is a number"),
+                what.to_owned(),
+            )
         };
         text.lines().map(line).collect()
     }
 
-    /// Returns the number of calls that all services ran.
+    /// Returns the number of calls that the services have run.
     pub(crate) fn runs(&self) -> usize {
         let runs = |p: &Process| {
             let journal = self.journal(&p.name);
@@ -293,32 +310,34 @@
         self.upstreams.iter().map(runs).sum()
     }
 
-    /// Waits until the services have run so many calls.
+    /// Waits until the services have run at least `count` calls.
     pub(crate) fn wait_for_runs(&self, count: usize) {
-        wait("the calls to run", || {
+        wait("the calls to start", || {
             let runs = self.runs();
             (runs >= count).then_some(()).ok_or(json!(runs))
         });
     }
 
-    /// Waits until a runner loads a model, and returns its name.
+    /// Waits until a runner is loading a model and returns the name of the runner.
     pub(crate) fn wait_for_load(&self) -> String {
         let host = &self.routers[0].process.name;
-        wait("a load", || {
-            let dump: Value = serde_json::from_str(&self.ctl(&["dump", host])).expect("JSON");
+        wait("a load to start", || {
+            let dump: Value =
+                serde_json::from_str(&self.ctl(&["dump", host])).expect("the dump is JSON");
             let upstreams = dump["router"]["upstreams"].as_array().cloned();
             let upstreams = upstreams.unwrap_or_default();
-            let loads = |u: &&Value| u["loading"].as_array().is_some_and(|l| !l.is_empty());
+            let is_loading = |u: &&Value| u["loading"].as_array().is_some_and(|l| !l.is_empty());
             let name = upstreams
                 .iter()
-                .find(loads)
+                .find(is_loading)
                 .and_then(|u| u["name"].as_str());
-            name.map(str::to_owned).ok_or(json!("none loads"))
+            name.map(str::to_owned)
+                .ok_or(json!("no runner is loading a model"))
         })
     }
 
-    /// Waits until a router's health check passes, as the platform's balancer
-    /// does.
+    /// Waits until a router's health check passes, as the platform's load
+    /// balancer does.
     pub(crate) fn wait_for_health(&self, router: usize) {
         wait("a health check that passes", || {
             let (status, body) = self.health(router);
@@ -327,7 +346,7 @@
         });
     }
 
-    /// Returns a router's answer to the health check.
+    /// Returns the status and body of a router's health check.
     pub(crate) fn health(&self, router: usize) -> (u16, String) {
         let callers = self.routers[router].callers;
         let Ok(mut stream) = TcpStream::connect(callers) else {
@@ -344,12 +363,12 @@
         (status.unwrap_or(0), body.to_owned())
     }
 
-    /// Waits until all routers have the tables, a leader and all upstreams.
-    fn settle(&self) {
+    /// Waits until all routers are healthy and know a leader and all upstreams.
+    fn wait_until_ready(&self) {
         let upstreams = self.upstreams.len();
         for router in 0..self.routers.len() {
             self.wait_for_health(router);
-            wait("the parts to find each other", || {
+            wait("the processes to discover each other", || {
                 let status = self.status(router);
                 let found = status["upstreams"] == upstreams && status["leader"].is_string();
                 found.then_some(()).ok_or(status)
@@ -357,20 +376,20 @@
         }
     }
 
-    /// Returns what a router reports of itself.
+    /// Returns a router's status.
     pub(crate) fn status(&self, router: usize) -> Value {
-        self.whole_status()["routers"][router]["status"].clone()
+        self.full_status()["routers"][router]["status"].clone()
     }
 
-    /// Returns what `sequoiactl status` says of all hosts.
-    pub(crate) fn whole_status(&self) -> Value {
+    /// Returns the output of `sequoiactl status` for all hosts.
+    pub(crate) fn full_status(&self) -> Value {
         let status = self.ctl(&["status", "--output", "json"]);
         serde_json::from_str(&status).expect("status prints JSON")
     }
 
     pub(crate) fn write(&self, name: &str, value: &Value) -> PathBuf {
         let path = self.folder.join(name);
-        fs::write(&path, value.to_string()).expect("the file is written");
+        fs::write(&path, value.to_string()).expect("the file is writable");
         path
     }
 }
--- a/tests/support/http.rs
+++ b/tests/support/http.rs
@@ -1,20 +1,20 @@
-//! Requests as callers send them, and the answers as they see them.
+//! A minimal HTTP client for the tests.
 
-use super::wait::PATIENCE;
+use super::wait::TIMEOUT;
 use std::{
     io::{Read, Write},
     net::{SocketAddr, TcpStream},
 };
 
-/// An answer as a caller sees it.
+/// A response as a caller sees it.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
 }
 
-impl Answer {
+impl Response {
     /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|l| l.split_once(": "));
@@ -23,32 +23,32 @@
     }
 }
 
-/// Sends a request and reads the whole answer.
-pub(crate) fn post(to: SocketAddr, path: &str, key: &str, body: &str) -> Answer {
+/// Sends a request and reads the complete response.
+pub(crate) fn post(to: SocketAddr, path: &str, key: &str, body: &str) -> Response {
     post_with(to, path, key, &[], body)
 }
 
-/// Sends a request with further headers and reads the whole answer.
+/// Sends a request with additional headers and reads the complete response.
 pub(crate) fn post_with(
     to: SocketAddr,
     path: &str,
     key: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Answer {
-    let answer = try_post(to, path, key, headers, body);
-    answer.expect("the router answers whole")
+) -> Response {
+    let response = try_post(to, path, key, headers, body);
+    response.expect("the router sends a complete response")
 }
 
-/// Sends a request and reads the whole answer, unless the router does not
-/// listen or the answer breaks off.
+/// Sends a request and reads the complete response, or returns `None` if the
+/// connection fails or the response is incomplete.
 pub(crate) fn try_post(
     to: SocketAddr,
     path: &str,
     key: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Option<Answer> {
+) -> Option<Response> {
     let length = body.len();
     let headers: Vec<String> = headers
         .iter()
@@ -59,41 +59,42 @@
         "POST {path} HTTP/1.1\r\nHost: test\r\nAuthorization: Bearer {key}\r\n{headers}\
          Connection: close\r\nContent-Length: {length}\r\n\r\n{body}"
     );
-    parse(&exchange(to, &request)?)
+    parse(&send_raw(to, &request)?)
 }
 
-/// Sends bytes and returns all that comes back, if anything does.
-pub(crate) fn exchange(to: SocketAddr, request: &str) -> Option<String> {
+/// Sends a raw request and reads until the connection is closed, or returns
+/// `None` if the connection fails.
+pub(crate) fn send_raw(to: SocketAddr, request: &str) -> Option<String> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
     Some(text)
 }
 
-/// Returns the answer, unless it is not whole.
-fn parse(text: &str) -> Option<Answer> {
+/// Parses a response, or returns `None` if it is incomplete.
+fn parse(text: &str) -> Option<Response> {
     let (head, raw) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let is_chunked = head
         .to_ascii_lowercase()
         .contains("transfer-encoding: chunked");
-    let mut answer = Answer {
+    let mut response = Response {
         status,
         head: head.to_owned(),
         body: raw.to_owned(),
     };
     if is_chunked {
-        answer.body = unchunk(raw)?;
+        response.body = decode_chunked(raw)?;
     }
-    let length = answer.header("content-length").map(str::parse);
-    let is_whole = length.is_none_or(|l| l == Ok(answer.body.len()));
-    is_whole.then_some(answer)
+    let length = response.header("content-length").map(str::parse);
+    let is_complete = length.is_none_or(|l| l == Ok(response.body.len()));
+    is_complete.then_some(response)
 }
 
-/// Joins the chunks of a body, unless it is not ended properly.
-fn unchunk(raw: &str) -> Option<String> {
+/// Decodes a chunked body, or returns `None` if its last chunk is missing.
+fn decode_chunked(raw: &str) -> Option<String> {
     let mut body = String::new();
     let mut rest = raw;
     loop {
--- a/tests/support/layout.rs
+++ b/tests/support/layout.rs
@@ -1,29 +1,29 @@
-//! What a deployment of a test consists of.
+//! The layout of a test deployment.
 
 use serde_json::{Value, json};
 
-/// The data centres of a deployment, and how its processes differ from their
-/// defaults.
+/// The data centres of a deployment and the settings of its processes that
+/// differ from the defaults.
 #[derive(Clone)]
 pub(crate) struct Layout {
     pub(crate) centres: Vec<Centre>,
-    /// The number of the data centre of each controller.
+    /// The index of the data centre of each controller.
     pub(crate) controllers: Vec<usize>,
-    /// The most replicas of the model.
+    /// The maximum number of replicas of the model.
     pub(crate) replicas: usize,
-    /// Whether the connections between hosts can be cut.
+    /// Whether traffic between hosts can be blocked.
     pub(crate) cuts: bool,
-    /// Whether the routers have disks.
+    /// Whether the routers keep state on disk.
     pub(crate) disks: bool,
-    /// Settings of all routers, beside their addresses.
+    /// Additional settings of all routers.
     pub(crate) router: Value,
-    /// Settings of all runners, beside their addresses.
+    /// Additional settings of all runners.
     pub(crate) runner: Value,
-    /// Settings of all services, beside their addresses.
+    /// Additional settings of all services.
     pub(crate) service: Value,
 }
 
-/// How many routers, runners and services a data centre has.
+/// The numbers of routers, runners and services in a data centre.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Centre {
     pub(crate) routers: usize,
@@ -34,27 +34,27 @@
 impl Layout {
     /// One data centre with a router, a runner and a service.
     pub(crate) fn single() -> Self {
-        Self::of(&[(1, 1, 1)])
+        Self::from_counts(&[(1, 1, 1)])
     }
 
     /// One data centre with three routers and a runner.
     pub(crate) fn three_routers() -> Self {
-        Self::of(&[(3, 1, 0)])
+        Self::from_counts(&[(3, 1, 0)])
     }
 
     /// One data centre with two routers and a runner.
     pub(crate) fn two_routers() -> Self {
-        Self::of(&[(2, 1, 0)])
+        Self::from_counts(&[(2, 1, 0)])
     }
 
     /// Two data centres with a router each, and a runner in the first.
     pub(crate) fn two_centres() -> Self {
-        Self::of(&[(1, 1, 0), (1, 0, 0)])
+        Self::from_counts(&[(1, 1, 0), (1, 0, 0)])
     }
 
-    /// Returns the layout of data centres with so many routers, runners and
-    /// services, and one controller in the first.
-    pub(crate) fn of(counts: &[(usize, usize, usize)]) -> Self {
+    /// Returns a layout from the numbers of routers, runners and services of each
+    /// data centre, with one controller in the first.
+    pub(crate) fn from_counts(counts: &[(usize, usize, usize)]) -> Self {
         let centres = counts.iter().map(|(routers, runners, services)| Centre {
             routers: *routers,
             runners: *runners,
@@ -63,7 +63,7 @@
         Self::from_centres(centres.collect())
     }
 
-    /// Returns the layout of these data centres with one controller in the
+    /// Returns a layout of the given data centres, with one controller in the
     /// first.
     pub(crate) fn from_centres(centres: Vec<Centre>) -> Self {
         Self {
@@ -80,7 +80,7 @@
 }
 
 /// Returns the tables of a deployment: one pool of runners, one of services,
-/// and a customer who may use both.
+/// and a customer with access to both.
 pub(crate) fn tables(replicas: usize) -> Value {
     json!({
         "customers": [{ "name": "daily" }],
@@ -104,9 +104,9 @@
     })
 }
 
-/// Puts the fields of one object over those of another.
-pub(crate) fn with(mut settings: Value, over: &Value) -> Value {
-    for (field, value) in over.as_object().into_iter().flatten() {
+/// Returns the settings with the fields of `overrides` replaced.
+pub(crate) fn merge(mut settings: Value, overrides: &Value) -> Value {
+    for (field, value) in overrides.as_object().into_iter().flatten() {
         settings[field] = value.clone();
     }
     settings
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,10 @@
-//! Starts the daemons of a small deployment and ends them again.
+//! Starts and stops the daemons of a small deployment.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses a part")]
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test file uses only some of the items"
+)]
 
 pub(crate) mod addresses;
 pub(crate) mod controllers;
@@ -15,5 +19,5 @@
 pub(crate) mod wait;
 
 pub(crate) use deployment::Deployment;
-pub(crate) use http::{Answer, post};
+pub(crate) use http::{Response, post};
 pub(crate) use layout::Layout;
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -1,4 +1,4 @@
-//! Connections between hosts that can be cut and healed.
+//! Relays between hosts whose traffic can be blocked and unblocked.
 
 use super::addresses::free_address;
 use async_net::{TcpListener, TcpStream};
@@ -10,17 +10,18 @@
     sync::Arc,
 };
 
-/// The bytes that a relay passes on at once.
+/// The buffer size of a relay in bytes.
 const BUFFER: usize = 16 * 1024;
 
-/// The cut directions, each from one host to another.
+/// The blocked directions, each from one host to another.
 type Cuts = Arc<BTreeSet<(String, String)>>;
 
 /// Relays between hosts.
 ///
-/// What is sent in a cut direction is held until the cut heals, as TCP does
-/// that sends again; it arrives late, also the end of a connection. A connection
-/// made while either direction is cut is taken, and nothing comes on it.
+/// Data sent in a blocked direction, including the end of a connection, is held
+/// back and delivered once the direction is unblocked, as with TCP
+/// retransmission. A connection made while either direction is blocked is
+/// accepted, but no data passes.
 #[derive(Default)]
 pub(crate) struct Network {
     cuts: Watch<Cuts>,
@@ -28,28 +29,35 @@
 }
 
 impl Network {
-    /// Returns an address under which one host reaches another at `target`.
+    /// Starts a relay between two hosts and returns its address, which forwards to
+    /// `target`.
     pub(crate) fn relay(&mut self, from: &str, to: &str, target: SocketAddr) -> SocketAddr {
         let address = free_address();
         let listener = run(TcpListener::bind(address)).expect("the address is free");
-        let there = Direction::new(&self.cuts, from, to);
-        let back = Direction::new(&self.cuts, to, from);
+        let outbound = Direction::new(&self.cuts, from, to);
+        let inbound = Direction::new(&self.cuts, to, from);
         self.relays.push(spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                spawn(connect(near, there.clone(), back.clone(), target)).detach();
+            while let Ok((client, _)) = listener.accept().await {
+                spawn(relay_connection(
+                    client,
+                    outbound.clone(),
+                    inbound.clone(),
+                    target,
+                ))
+                .detach();
             }
         }));
         address
     }
 
-    /// Cuts one direction.
+    /// Blocks one direction.
     pub(crate) fn cut(&self, from: &str, to: &str) {
         let mut cuts = BTreeSet::clone(&self.cuts.get());
         cuts.insert((from.to_owned(), to.to_owned()));
         self.cuts.set(Arc::new(cuts));
     }
 
-    /// Undoes all cuts.
+    /// Unblocks all directions.
     pub(crate) fn heal(&self) {
         self.cuts.set(Cuts::default());
     }
@@ -65,43 +73,48 @@
 #[derive(Clone)]
 struct Direction {
     cuts: Watch<Cuts>,
-    pair: Arc<(String, String)>,
+    hosts: Arc<(String, String)>,
 }
 
 impl Direction {
     fn new(cuts: &Watch<Cuts>, from: &str, to: &str) -> Self {
         Self {
             cuts: cuts.clone(),
-            pair: Arc::new((from.to_owned(), to.to_owned())),
+            hosts: Arc::new((from.to_owned(), to.to_owned())),
         }
     }
 
-    /// Waits until the direction is not cut.
-    async fn open(&self) {
-        let is_open = |cuts: &Cuts| !cuts.contains(&*self.pair);
+    /// Waits until the direction is not blocked.
+    async fn wait_open(&self) {
+        let is_open = |cuts: &Cuts| !cuts.contains(&*self.hosts);
         self.cuts.wait_until(is_open).await;
     }
 }
 
-async fn connect(near: TcpStream, there: Direction, back: Direction, target: SocketAddr) {
-    there.open().await;
-    back.open().await;
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn relay_connection(
+    client: TcpStream,
+    outbound: Direction,
+    inbound: Direction,
+    target: SocketAddr,
+) {
+    outbound.wait_open().await;
+    inbound.wait_open().await;
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    near.set_nodelay(true).ok();
-    far.set_nodelay(true).ok();
-    let sending = pump(near.clone(), far.clone(), there);
-    let answering = pump(far, near, back);
-    zip(sending, answering).await;
+    client.set_nodelay(true).ok();
+    server.set_nodelay(true).ok();
+    let upload = copy_bytes(client.clone(), server.clone(), outbound);
+    let download = copy_bytes(server, client, inbound);
+    zip(upload, download).await;
 }
 
-/// Passes on bytes until either end closes.
-async fn pump(mut from: TcpStream, mut to: TcpStream, direction: Direction) {
+/// Copies bytes until either end closes.
+async fn copy_bytes(mut from: TcpStream, mut to: TcpStream, direction: Direction) {
     let mut buffer = vec![0; BUFFER];
     loop {
         let read = from.read(&mut buffer).await;
-        direction.open().await;
+        direction.wait_open().await;
         let Some(count) = read.ok().filter(|c| *c > 0) else {
             to.shutdown(Shutdown::Write).ok();
             return;
--- a/tests/support/plan.rs
+++ b/tests/support/plan.rs
@@ -2,7 +2,7 @@
 
 use super::{
     addresses::{free_address, free_addresses},
-    layout::{Layout, with},
+    layout::{Layout, merge},
     network::Network,
     process::Process,
 };
@@ -11,10 +11,10 @@
 
 const SECRET: &str = "secret-of-the-tests";
 
-/// How long a runner of the tests loads a model, in milliseconds.
-const LOAD: u64 = 300;
+/// How long a runner takes to load a model, in milliseconds.
+const LOAD_MS: u64 = 300;
 
-/// Where a host is, and where others reach its process.
+/// A host with its data centre and the address of its process.
 struct Host {
     name: String,
     centre: String,
@@ -22,12 +22,12 @@
 }
 
 impl Host {
-    fn described(&self) -> Value {
+    fn to_json(&self) -> Value {
         json!({ "host": self.name, "centre": self.centre, "address": self.address })
     }
 }
 
-/// A router and where callers and scrapers reach it.
+/// A router with its addresses for callers and metrics.
 pub(crate) struct RouterProcess {
     pub(crate) process: Process,
     pub(crate) centre: String,
@@ -35,7 +35,7 @@
     pub(crate) metrics: SocketAddr,
 }
 
-/// The processes of a layout, none of which runs yet.
+/// The hosts of a layout.
 pub(crate) struct Plan {
     controllers: Vec<Host>,
     routers: Vec<Host>,
@@ -68,19 +68,20 @@
         plan
     }
 
-    /// Returns the operator's file.
+    /// Returns the contents of the operator's `deployment.json`.
     pub(crate) fn deployment(&self) -> Value {
         json!({
             "secret": SECRET,
-            "controllers": described(&self.controllers),
-            "routers": described(&self.routers),
+            "controllers": hosts_to_json(&self.controllers),
+            "routers": hosts_to_json(&self.routers),
         })
     }
 
-    /// Returns the names of all hosts of a data centre, or the host itself.
-    pub(crate) fn named(&self, name: &str) -> Vec<String> {
-        let named = self.all().filter(|h| h.name == name || h.centre == name);
-        named.map(|h| h.name.clone()).collect()
+    /// Returns the names of the hosts that have this name or are in the data centre
+    /// of this name.
+    pub(crate) fn matching_hosts(&self, name: &str) -> Vec<String> {
+        let matching = self.all().filter(|h| h.name == name || h.centre == name);
+        matching.map(|h| h.name.clone()).collect()
     }
 
     /// Returns the names of all hosts.
@@ -93,7 +94,8 @@
         hosts.chain(&self.runners).chain(&self.services)
     }
 
-    /// Returns how a host reaches all others, by relays that can be cut.
+    /// Returns the address translations by which a host reaches all others through
+    /// relays.
     fn translations(&self, from: &Host, network: &mut Option<Network>) -> Value {
         let Some(network) = network else {
             return json!([]);
@@ -109,14 +111,14 @@
     pub(crate) fn controllers(&self, folder: &Path, network: &mut Option<Network>) -> Vec<Process> {
         let voters = match self.controllers.len() {
             1 => json!([]),
-            _ => described(&self.controllers),
+            _ => hosts_to_json(&self.controllers),
         };
         let voters: Vec<Value> = voters.as_array().cloned().unwrap_or_default();
         let voters: Vec<Value> = voters
             .into_iter()
             .map(|v| json!({ "host": v["host"], "address": v["address"] }))
             .collect();
-        let made = self.controllers.iter().map(|host| {
+        let processes = self.controllers.iter().map(|host| {
             let settings = json!({
                 "host": host.name, "centre": host.centre, "link": host.address,
                 "secret": SECRET, "data": folder.join(format!("{}.data", host.name)),
@@ -124,7 +126,7 @@
             });
             Process::new(folder, "sequoiawing-controller", &host.name, settings)
         });
-        made.collect()
+        processes.collect()
     }
 
     pub(crate) fn routers(
@@ -134,17 +136,17 @@
         network: &mut Option<Network>,
     ) -> Vec<RouterProcess> {
         let controllers: Vec<SocketAddr> = self.controllers.iter().map(|c| c.address).collect();
-        let made = self.routers.iter().map(|host| {
+        let processes = self.routers.iter().map(|host| {
             let [callers, upstreams, metrics] = free_addresses();
             let others = self.routers.iter().filter(|r| r.name != host.name);
-            let peers: Vec<Value> = others.map(Host::described).collect();
+            let peers: Vec<Value> = others.map(Host::to_json).collect();
             let mut settings = json!({
                 "host": host.name, "centre": host.centre, "callers": callers,
                 "upstreams": upstreams, "link": host.address, "secret": SECRET,
                 "credential": SECRET, "controllers": controllers, "peers": peers,
                 "metrics": metrics, "translations": self.translations(host, network),
             });
-            settings = with(settings, &layout.router);
+            settings = merge(settings, &layout.router);
             if layout.disks {
                 settings["data"] = json!(folder.join(format!("{}.data", host.name)));
             }
@@ -155,7 +157,7 @@
                 metrics,
             }
         });
-        made.collect()
+        processes.collect()
     }
 
     pub(crate) fn upstreams(
@@ -165,22 +167,22 @@
         routers: &[RouterProcess],
     ) -> Vec<Process> {
         let common = |host: &Host| {
-            let near = routers.iter().filter(|r| r.centre == host.centre);
-            let near: Vec<&Value> = near.map(|r| &r.process.settings["upstreams"]).collect();
+            let local = routers.iter().filter(|r| r.centre == host.centre);
+            let local: Vec<&Value> = local.map(|r| &r.process.settings["upstreams"]).collect();
             json!({
                 "name": host.name, "centre": host.centre, "listen": host.address,
-                "routers": near, "credential": SECRET,
+                "routers": local, "credential": SECRET,
             })
         };
         let runners = self.runners.iter().map(|host| {
-            let own = json!({ "pool": "captions", "load": LOAD });
-            let settings = with(with(common(host), &own), &layout.runner);
+            let extra = json!({ "pool": "captions", "load": LOAD_MS });
+            let settings = merge(merge(common(host), &extra), &layout.runner);
             Process::new(folder, "sequoiawing-engine", &host.name, settings)
         });
         let services = self.services.iter().map(|host| {
             let journal = folder.join(format!("{}.journal", host.name));
-            let own = json!({ "pool": "licences", "journal": journal });
-            let settings = with(with(common(host), &own), &layout.service);
+            let extra = json!({ "pool": "licences", "journal": journal });
+            let settings = merge(merge(common(host), &extra), &layout.service);
             Process::new(folder, "sequoiawing-service", &host.name, settings)
         });
         runners.chain(services).collect()
@@ -195,6 +197,6 @@
     }
 }
 
-fn described(hosts: &[Host]) -> Value {
-    hosts.iter().map(Host::described).collect()
+fn hosts_to_json(hosts: &[Host]) -> Value {
+    hosts.iter().map(Host::to_json).collect()
 }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! One daemon, which can be killed, frozen, stopped and started again.
+//! A daemon process that can be signalled, killed and restarted.
 
 use super::wait::wait;
 use rustix::process::{Pid, Signal, kill_process};
@@ -9,8 +9,8 @@
     process::{Child, Command},
 };
 
-/// A daemon with its settings, which outlive it; it is ended when it is
-/// dropped.
+/// A daemon with its settings, which are kept across restarts; it is killed on
+/// drop.
 pub(crate) struct Process {
     pub(crate) name: String,
     pub(crate) settings: Value,
@@ -20,7 +20,7 @@
 }
 
 impl Process {
-    /// Describes a daemon that does not run yet.
+    /// Creates a daemon without starting it.
     pub(crate) fn new(folder: &Path, program: &'static str, name: &str, settings: Value) -> Self {
         Self {
             name: name.to_owned(),
@@ -31,24 +31,24 @@
         }
     }
 
-    /// Starts the daemon, or starts it again at the same addresses.
+    /// Starts or restarts the daemon with its settings.
     pub(crate) fn start(&mut self) {
         let path = self.folder.join(format!("{}.settings.json", self.name));
-        fs::write(&path, self.settings.to_string()).expect("the file is written");
+        fs::write(&path, self.settings.to_string()).expect("the file is writable");
         let log = fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.log())
-            .expect("a log");
+            .expect("the log file can be opened");
         let child = Command::new(program(self.program))
             .arg(path)
-            .stdout(log.try_clone().expect("a second handle"))
+            .stdout(log.try_clone().expect("the log file can be cloned"))
             .stderr(log)
             .spawn();
         self.child = Some(child.expect("the daemon starts"));
     }
 
-    /// Ends the daemon as `kill -9` does.
+    /// Kills the daemon with SIGKILL.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().ok();
@@ -58,11 +58,11 @@
 
     /// Sends a signal to the daemon.
     pub(crate) fn signal(&self, signal: Signal) {
-        let child = self.child.as_ref().expect("it runs");
-        kill_process(Pid::from_child(child), signal).expect("it is running");
+        let child = self.child.as_ref().expect("the daemon runs");
+        kill_process(Pid::from_child(child), signal).expect("the process is running");
     }
 
-    /// Asks the daemon to stop, and returns it to be waited for.
+    /// Sends SIGTERM to the daemon and returns a handle to wait for its exit.
     pub(crate) fn terminate(&mut self) -> Stopping {
         self.signal(Signal::TERM);
         Stopping {
@@ -82,22 +82,22 @@
     }
 }
 
-/// A daemon that was asked to stop; it is killed when it is dropped.
+/// A daemon that was asked to stop; it is killed on drop.
 pub(crate) struct Stopping {
     child: Option<Child>,
     log: PathBuf,
 }
 
 impl Stopping {
-    /// Waits until the daemon has ended well, and returns what it logged.
+    /// Waits until the daemon exits with success and returns its log.
     pub(crate) fn wait(mut self) -> String {
-        let child = self.child.as_mut().expect("it was running");
+        let child = self.child.as_mut().expect("the process was running");
         let log = &self.log;
-        let status = wait("the daemon to end", || {
-            let status = child.try_wait().expect("it can be waited for");
+        let status = wait("the daemon to exit", || {
+            let status = child.try_wait().expect("the process can be waited for");
             status.ok_or(json!(fs::read_to_string(log).unwrap_or_default()))
         });
-        let log = fs::read_to_string(&self.log).expect("it has a log");
+        let log = fs::read_to_string(&self.log).expect("the daemon has a log");
         assert!(status.success(), "{status}\n{log}");
         log
     }
@@ -112,17 +112,17 @@
     }
 }
 
-/// Returns the path of a program of this repository.
+/// Returns the path of a program built from this repository.
 pub(crate) fn program(name: &str) -> PathBuf {
-    let test = std::env::current_exe().expect("the test has a path");
+    let test = std::env::current_exe().expect("the test program has a path");
     let folder = test
         .parent()
         .and_then(Path::parent)
-        .expect("it lies under target");
+        .expect("the test program is in the target folder");
     folder.join(name)
 }
 
-/// Prints what the daemons of a failed test logged.
+/// Prints the logs of the daemons of a failed test.
 pub(crate) fn print_logs(folder: &Path) {
     let entries = fs::read_dir(folder).into_iter().flatten().flatten();
     for entry in entries.filter(|e| e.path().extension().is_some_and(|x| x == "log")) {
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -5,29 +5,29 @@
     thread,
 };
 
-/// Counts the loads from the weight store, for each of which an engine holds a
-/// connection open.
+/// Counts the loads from the weight store; an engine keeps one connection open
+/// for each load.
 #[derive(Clone)]
 pub(crate) struct StoreCounter {
     pub(crate) address: SocketAddr,
     counts: Arc<Mutex<Counts>>,
 }
 
-/// The loads so far.
+/// The numbers of loads.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
-    /// The loads that run.
+    /// The loads in progress.
     pub(crate) running: u32,
-    /// The most that ran at once.
-    pub(crate) most: u32,
-    /// All that were begun.
-    pub(crate) begun: u32,
+    /// The maximum number of concurrent loads.
+    pub(crate) peak: u32,
+    /// The loads started so far.
+    pub(crate) started: u32,
 }
 
 impl StoreCounter {
     pub(crate) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let counts = Arc::new(Mutex::new(Counts::default()));
         let counter = Self {
             address,
@@ -36,25 +36,25 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let counts = counts.clone();
-                thread::spawn(move || count(stream, &counts));
+                thread::spawn(move || count_load(stream, &counts));
             }
         });
         counter
     }
 
     pub(crate) fn counts(&self) -> Counts {
-        *self.counts.lock().expect("no count panics")
+        *self.counts.lock().expect("the lock is not poisoned")
     }
 }
 
-/// Counts one load until the engine ends it or dies.
-fn count(mut stream: TcpStream, counts: &Mutex<Counts>) {
+/// Counts one load until the engine closes the connection.
+fn count_load(mut stream: TcpStream, counts: &Mutex<Counts>) {
     {
-        let mut counts = counts.lock().expect("no count panics");
+        let mut counts = counts.lock().expect("the lock is not poisoned");
         counts.running += 1;
-        counts.begun += 1;
-        counts.most = counts.most.max(counts.running);
+        counts.started += 1;
+        counts.peak = counts.peak.max(counts.running);
     }
     stream.read_to_end(&mut Vec::new()).ok();
-    counts.lock().expect("no count panics").running -= 1;
+    counts.lock().expect("the lock is not poisoned").running -= 1;
 }
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -1,15 +1,19 @@
-//! Waits for what other processes do.
+//! Waits for conditions on other processes.
 
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// How often a condition is looked at.
-const POLL: Duration = Duration::from_millis(100);
+/// The interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long anything may take before a test gives up.
-pub(crate) const PATIENCE: Duration = Duration::from_mins(1);
+/// How long a test waits for a condition before it fails.
+pub(crate) const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Waits until the condition holds; until then it says what it saw.
+/// Waits until the condition returns `Ok`.
+///
+/// # Panics
+///
+/// Panics with the last `Err` value if that takes longer than [`TIMEOUT`].
 pub(crate) fn wait<T, F>(what: &str, mut condition: F) -> T
 where
     F: FnMut() -> Result<T, Value>,
@@ -21,9 +25,9 @@
             Err(seen) => seen,
         };
         assert!(
-            start.elapsed() < PATIENCE,
-            "waited too long for {what}: {seen}"
+            start.elapsed() < TIMEOUT,
+            "timed out after {TIMEOUT:?} waiting for {what}: {seen}"
         );
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
