--- a/tests/requests/callers.rs
+++ b/tests/requests/callers.rs
@@ -55,7 +55,7 @@
         let fleet = start().await;
         let response = fleet.call("/grant").with_header("x-request-id", "strip-42").send().await;
         assert_eq!(response.headers["x-request-id"], "strip-42");
-        let seen = fleet.services[0].seen();
+        let seen = fleet.services[0].recorded_requests();
         assert!(seen[0].contains("strip-42"), "{seen:?}");
     }
 
--- a/tests/requests/fleet.rs
+++ b/tests/requests/fleet.rs
@@ -344,7 +344,7 @@
             .body(from_bytes(self.body))
             .expect("the request is valid");
         let client = Client::new(TIMEOUT);
-        let response = client.send_anew(self.to, request).await;
+        let response = client.send_on_new_connection(self.to, request).await;
         response.expect("the router answers")
     }
 
--- a/tests/requests/keys.rs
+++ b/tests/requests/keys.rs
@@ -121,8 +121,8 @@
         let in_path = fleet.call(&format!("/look/{key}")).send().await;
         assert_eq!(in_path.code(), "bad_request");
         fleet.load_model().await;
-        let service_requests: Vec<String> = fleet.services.iter().flat_map(Service::seen).collect();
-        let engine_requests: Vec<String> = fleet.engines.iter().flat_map(Engine::seen).collect();
+        let service_requests: Vec<String> = fleet.services.iter().flat_map(Service::recorded_requests).collect();
+        let engine_requests: Vec<String> = fleet.engines.iter().flat_map(Engine::recorded_requests).collect();
         assert_eq!(service_requests.len(), 9);
         assert!(!engine_requests.is_empty());
         for request in service_requests.iter().chain(&engine_requests) {
--- a/tests/requests/load.rs
+++ b/tests/requests/load.rs
@@ -55,7 +55,7 @@
 
     streams_that_end_too_early_are_wrong {
         let (fleet, settings) = start().await;
-        fleet.engines[0].set_fault(Fault::CutShort);
+        fleet.engines[0].set_fault(Fault::Truncate);
         let report = run_load(with_router(settings, fleet.engines[0].address())).await;
         for summary in report.summaries() {
             assert_eq!((summary.wrong, summary.took.count), (20, 0), "{summary:?}");
--- a/tests/requests/streams.rs
+++ b/tests/requests/streams.rs
@@ -25,9 +25,9 @@
 
 /// Clears the fault once the engine has served one more request.
 async fn clear_fault(fleet: &Fleet) {
-    let served = fleet.engines[0].served();
+    let served = fleet.engines[0].started_requests();
     crate::fleet::wait_until("the stream started", || {
-        std::future::ready(fleet.engines[0].served() > served)
+        std::future::ready(fleet.engines[0].started_requests() > served)
     })
     .await;
     sleep(Duration::from_millis(20)).await;
@@ -49,7 +49,7 @@
     let expected: Vec<String> = (0..TOKENS).map(|i| format!("w{i}")).collect();
     assert_eq!(words(response.text()), expected);
     assert!(response.text().ends_with("data: [DONE]\n\n"));
-    let seen = fleet.engines[0].seen();
+    let seen = fleet.engines[0].recorded_requests();
     let resumed = seen.last().expect("the engine received a request");
     assert!(
         resumed.contains("\"sequoiawing-resume-offset\": \"20\""),
@@ -67,21 +67,21 @@
 }
 
 cases! {
-    a_stream_that_breaks_off_is_resumed { assert_resumed(Fault::BreakOff).await; }
-    a_stream_that_is_cut_short_is_resumed { assert_resumed(Fault::CutShort).await; }
-    a_stream_that_falls_silent_is_resumed { assert_resumed(Fault::FallSilent).await; }
-    a_stream_that_breaks_off_ends_with_an_error { assert_incomplete(Fault::BreakOff).await; }
-    a_stream_that_is_cut_short_ends_with_an_error { assert_incomplete(Fault::CutShort).await; }
-    a_stream_that_falls_silent_ends_with_an_error { assert_incomplete(Fault::FallSilent).await; }
+    a_stream_that_breaks_off_is_resumed { assert_resumed(Fault::Abort).await; }
+    a_stream_that_is_cut_short_is_resumed { assert_resumed(Fault::Truncate).await; }
+    a_stream_that_falls_silent_is_resumed { assert_resumed(Fault::Stall).await; }
+    a_stream_that_breaks_off_ends_with_an_error { assert_incomplete(Fault::Abort).await; }
+    a_stream_that_is_cut_short_ends_with_an_error { assert_incomplete(Fault::Truncate).await; }
+    a_stream_that_falls_silent_ends_with_an_error { assert_incomplete(Fault::Stall).await; }
 
     a_stream_that_cannot_be_resumed_ends_with_an_error {
-        let fleet = start(Fault::BreakOff).await;
+        let fleet = start(Fault::Abort).await;
         let response = fleet.completion("/resumed", TOKENS).send().await;
         assert!(response.body.is_err(), "{response:?}");
     }
 
     a_stream_that_fails_before_its_first_token_is_retried {
-        let fleet = start(Fault::BreakOff).await;
+        let fleet = start(Fault::Abort).await;
         let call = sequoiawing::runtime::spawn(fleet.completion("/v1/completions", 1).send());
         clear_fault(&fleet).await;
         let response = call.await;
--- a/tests/requests/upstreams.rs
+++ b/tests/requests/upstreams.rs
@@ -33,7 +33,9 @@
 /// responses.
 async fn send_until_failed(fleet: &Fleet, path: &str) -> Vec<Response> {
     let mut responses = Vec::new();
-    let reached = || !fleet.services[0].calls().is_empty() || !fleet.services[0].seen().is_empty();
+    let reached = || {
+        !fleet.services[0].calls().is_empty() || !fleet.services[0].recorded_requests().is_empty()
+    };
     while !reached() {
         assert!(
             responses.len() < 100,
@@ -110,27 +112,27 @@
 
 fault_cases! { assert_retried:
     a_call_to_a_frozen_upstream_is_retried: Freeze;
-    a_response_that_falls_silent_is_retried: FallSilent;
-    a_response_that_breaks_off_is_retried: BreakOff;
-    a_crossed_response_is_retried: Cross;
+    a_response_that_falls_silent_is_retried: Stall;
+    a_response_that_breaks_off_is_retried: Abort;
+    a_crossed_response_is_retried: WrongAttempt;
     an_upstreams_error_is_retried: Fail;
     a_refused_connection_is_retried: Refuse;
-    an_invalid_response_is_retried: Rubbish;
+    an_invalid_response_is_retried: InvalidHttp;
     a_response_without_a_length_is_retried: Unframed;
-    a_closed_connection_is_retried: HangUp;
+    a_closed_connection_is_retried: Disconnect;
 }
 
 fault_cases! { assert_outcome_unknown:
     a_frozen_upstream_leaves_the_outcome_unknown: Freeze;
-    a_crossed_response_leaves_the_outcome_unknown: Cross;
-    an_invalid_response_leaves_the_outcome_unknown: Rubbish;
+    a_crossed_response_leaves_the_outcome_unknown: WrongAttempt;
+    an_invalid_response_leaves_the_outcome_unknown: InvalidHttp;
     a_response_without_a_length_leaves_the_outcome_unknown: Unframed;
-    a_closed_connection_leaves_the_outcome_unknown: HangUp;
+    a_closed_connection_leaves_the_outcome_unknown: Disconnect;
 }
 
 fault_cases! { assert_incomplete:
-    a_non_repeatable_response_that_breaks_off_ends_with_an_error: BreakOff;
-    a_non_repeatable_response_that_falls_silent_ends_with_an_error: FallSilent;
+    a_non_repeatable_response_that_breaks_off_ends_with_an_error: Abort;
+    a_non_repeatable_response_that_falls_silent_ends_with_an_error: Stall;
 }
 
 cases! {
@@ -148,8 +150,8 @@
     }
 
     a_stray_response_is_discarded {
-        let fleet = start(Fault::StrayAnswer).await;
-        fleet.services[1].set_fault(Fault::StrayAnswer);
+        let fleet = start(Fault::ExtraResponse).await;
+        fleet.services[1].set_fault(Fault::ExtraResponse);
         for i in 0..20 {
             let body = format!("call {i}");
             let response = fleet.call("/look").with_body(body.clone()).send().await;
@@ -171,8 +173,8 @@
     }
 
     a_response_before_the_end_of_the_request_is_relayed {
-        let fleet = start(Fault::AnswerEarly).await;
-        fleet.services[1].set_fault(Fault::AnswerEarly);
+        let fleet = start(Fault::EarlyResponse).await;
+        fleet.services[1].set_fault(Fault::EarlyResponse);
         for path in ["/look", "/grant"] {
             let response = fleet.call(path).with_body("x".repeat(4_000_000)).send().await;
             assert_eq!(response.text(), "done: ");
@@ -202,7 +204,7 @@
                 assert!(response.headers.contains_key("retry-after"));
             }
         }
-        let asked: u64 = fleet.services.iter().map(Service::asked).sum();
+        let asked: u64 = fleet.services.iter().map(Service::received_calls).sum();
         // The first attempts, the initial retry budget, a fifth of the first
         // attempts, and one retry per second.
         let allowed = 400 + 100 + 80 + clock.elapsed().as_secs() + 1;
