--- a/crates/sequoiawing_router/src/attempt.rs
+++ b/crates/sequoiawing_router/src/attempt.rs
@@ -203,7 +203,7 @@
         let left = deadline.since(self.state.now());
         let build = || {
             let mut request = template.build(&attempt, left, point);
-            assignment.mark(request.headers_mut());
+            assignment.add_priority(request.headers_mut());
             request
         };
         let address = self.state.translations.translate(assignment.address);
--- a/crates/sequoiawing_router/src/controllers/budget.rs
+++ b/crates/sequoiawing_router/src/controllers/budget.rs
@@ -13,33 +13,33 @@
     time::Duration,
 };
 
-/// How often what is due is looked at.
+/// How often due messages are sent.
 const INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often what is due is looked at while a request waits.
+/// How often due messages are sent while a request is waiting for credit.
 const WAIT_INTERVAL: Duration = Duration::from_millis(3);
 
-/// How long a call to a lender may take.
-const CALL_LIMIT: Duration = Duration::from_millis(500);
+/// The timeout of a call to a lender.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a lender may hold back its answer until it recalls credit.
+/// How long a lender may delay its reply until it recalls credit.
 const RECALL_WAIT: Duration = Duration::from_secs(2);
 
-/// How long a call for recalls may take.
-const RECALL_LIMIT: Duration = Duration::from_secs(3);
+/// The timeout of a call for recalls.
+const RECALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long to wait after a lender did not answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// The delay after a failed call for recalls, or when there is no lender.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How often a router asks for the cut-off shares of the store's budgets, which
-/// it has to know when it leads next.
+/// How often a router requests the shares of the store's budgets that apply to a
+/// disconnected data centre, which it needs if it becomes the leader.
 const SHARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The most calls to one lender that are open at once.
-const OPEN_CALLS: usize = 4;
+/// The maximum number of concurrent calls to one lender.
+const MAX_OPEN_CALLS: usize = 4;
 
-/// Exchanges credit with the cell leader and, while this host leads, with the
-/// owner.
+/// Exchanges credit with the cell leader and, while this host is the leader, with
+/// the owner of the budgets.
 pub(crate) struct ExchangeBudgets {
     state: Arc<RouterState>,
 }
@@ -50,40 +50,49 @@
     }
 }
 
-/// Sends what is due to the cell leader.
-async fn exchange_below(state: Arc<RouterState>) {
+/// Sends due messages to the cell leader.
+async fn exchange_with_leader(state: Arc<RouterState>) {
     let open = Arc::new(AtomicUsize::new(0));
-    let mut refreshed = Time::ZERO;
+    let mut last_refresh = Time::ZERO;
     loop {
-        let pause = if state.purses.is_waiting() {
+        let interval = if state.router_budgets.is_waiting() {
             WAIT_INTERVAL
         } else {
             INTERVAL
         };
-        state.purses.wait_until_due().or(sleep(pause)).await;
+        state
+            .router_budgets
+            .wait_until_due()
+            .or(sleep(interval))
+            .await;
         let now = state.now();
         let tables = state.tables.get();
         if tables.revision.0 > 0 {
-            state.purses.know(now, tables.customers.values());
+            state.router_budgets.know(now, tables.customers.values());
         }
-        if now >= refreshed + SHARE_INTERVAL {
-            refreshed = now;
+        if now >= last_refresh + SHARE_INTERVAL {
+            last_refresh = now;
             for (budget, ..) in tables.store.budgets() {
-                state.purses.refresh(now, &budget);
+                state.router_budgets.refresh(now, &budget);
             }
         }
-        if open.load(Ordering::Relaxed) >= OPEN_CALLS {
+        if open.load(Ordering::Relaxed) >= MAX_OPEN_CALLS {
             continue;
         }
-        let asks = state.purses.asks(now);
-        if asks.is_empty() {
+        let requests = state.router_budgets.asks(now);
+        if requests.is_empty() {
             continue;
         }
         let borrower = state.settings.host.clone();
-        let batch = BudgetBatch { borrower, asks };
+        let batch = BudgetBatch {
+            borrower,
+            asks: requests,
+        };
         if state.lease().is_some() {
             let replies = state.lend(batch);
-            state.purses.hear(state.now(), replies.unwrap_or_default());
+            state
+                .router_budgets
+                .hear(state.now(), replies.unwrap_or_default());
             continue;
         }
         let Some(leader) = leader(&state) else {
@@ -93,11 +102,13 @@
         let state = state.clone();
         let open = open.clone();
         spawn(async move {
-            let call = leader.stub.call(CALL_LIMIT, |client, context| async move {
-                client.lend(context, batch).await
-            });
+            let call = leader
+                .stub
+                .call(CALL_TIMEOUT, |client, context| async move {
+                    client.lend(context, batch).await
+                });
             if let Ok(Some(replies)) = call.await {
-                state.purses.hear(state.now(), replies);
+                state.router_budgets.hear(state.now(), replies);
             }
             open.fetch_sub(1, Ordering::Relaxed);
         })
@@ -110,12 +121,12 @@
     state.peers.get(&host)
 }
 
-/// Sends what is due to the owner, while this host leads its cell.
-async fn exchange_above(state: Arc<RouterState>) {
+/// Sends due messages to the owner while this host leads its cell.
+async fn exchange_with_owner(state: Arc<RouterState>) {
     let open = Arc::new(AtomicUsize::new(0));
     loop {
         sleep(WAIT_INTERVAL).await;
-        if open.load(Ordering::Relaxed) >= OPEN_CALLS {
+        if open.load(Ordering::Relaxed) >= MAX_OPEN_CALLS {
             continue;
         }
         let Some(batch) = state.owner_batch() else {
@@ -125,46 +136,48 @@
         let state = state.clone();
         let open = open.clone();
         spawn(async move {
-            ask_owner(&state, batch).await;
+            send_to_owner(&state, batch).await;
             open.fetch_sub(1, Ordering::Relaxed);
         })
         .detach();
     }
 }
 
-/// Asks the controller that answered as the owner last, and marks the next one
-/// when it does not any more.
-async fn ask_owner(state: &RouterState, batch: BudgetBatch) {
+/// Sends a batch to the controller that last replied as the owner, and switches to
+/// the next controller if it no longer does.
+async fn send_to_owner(state: &RouterState, batch: BudgetBatch) {
     let Some((index, stub)) = owner(state) else {
         return;
     };
-    let call = stub.call(CALL_LIMIT, |client, context| async move {
+    let call = stub.call(CALL_TIMEOUT, |client, context| async move {
         client.lend(context, batch).await
     });
     let Ok(Some(replies)) = call.await else {
-        let next = (index + 1) % state.control.len();
-        let owner = &state.budgets.owner;
-        let (done, failed) = (Ordering::Relaxed, Ordering::Relaxed);
-        owner.compare_exchange(index, next, done, failed).ok();
+        let next_index = (index + 1) % state.controllers.len();
+        let owner = &state.centre_budgets.owner;
+        let (success, failure) = (Ordering::Relaxed, Ordering::Relaxed);
+        owner
+            .compare_exchange(index, next_index, success, failure)
+            .ok();
         return;
     };
-    state.lead(|state, led| {
+    state.with_leader_budgets(|state, budgets| {
         let now = state.now();
         for (budget, reply) in &replies {
-            led.hear(now, budget, reply);
+            budgets.handle_reply(now, budget, reply);
         }
     });
-    let recalls = &state.budgets.recalls;
+    let recalls = &state.centre_budgets.recalls;
     recalls.set(recalls.get() + 1);
 }
 
 fn owner(state: &RouterState) -> Option<(usize, &Stub<ControlClient>)> {
-    let index = state.budgets.owner.load(Ordering::Relaxed);
-    state.control.get(index).map(|s| (index, s))
+    let index = state.centre_budgets.owner.load(Ordering::Relaxed);
+    state.controllers.get(index).map(|s| (index, s))
 }
 
 /// Waits for the cell leader to recall credit.
-async fn follow_leader(state: Arc<RouterState>) {
+async fn poll_leader_recalls(state: Arc<RouterState>) {
     loop {
         let is_leading = state.lease().is_some();
         let host = state.settings.host.clone();
@@ -174,45 +187,45 @@
         } else if let Some(leader) = leader(&state) {
             let call = leader
                 .stub
-                .call(RECALL_LIMIT, |client, context| async move {
+                .call(RECALL_TIMEOUT, |client, context| async move {
                     client.recalled(context, host, wait).await
                 });
             let Ok(recalled) = call.await else {
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             };
             recalled
         } else {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         if !recalled.is_empty() {
-            state.purses.poke(state.now(), &recalled);
+            state.router_budgets.poke(state.now(), &recalled);
             sleep(WAIT_INTERVAL).await;
         }
     }
 }
 
 /// Waits for the owner to recall credit, while this host leads its cell.
-async fn follow_owner(state: Arc<RouterState>) {
+async fn poll_owner_recalls(state: Arc<RouterState>) {
     loop {
         let owner = owner(&state).map(|(_, stub)| stub.clone());
         let (Some(stub), Some(_)) = (owner, state.lease()) else {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let centre = state.settings.centre.clone();
         let wait = u64::try_from(RECALL_WAIT.as_millis()).unwrap_or(u64::MAX);
-        let call = stub.call(RECALL_LIMIT, |client, context| async move {
+        let call = stub.call(RECALL_TIMEOUT, |client, context| async move {
             client.recalled(context, centre, wait).await
         });
         let Ok(recalled) = call.await else {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        state.lead(|_, led| {
+        state.with_leader_budgets(|_, budgets| {
             for budget in &recalled {
-                led.poke(budget);
+                budgets.mark_due(budget);
             }
         });
         sleep(WAIT_INTERVAL).await;
@@ -226,12 +239,17 @@
 
     fn run(self: Box<Self>, shutdown: Shutdown) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         Box::pin(async move {
-            let below = spawn(exchange_below(self.state.clone()));
-            let above = spawn(exchange_above(self.state.clone()));
-            let leader = spawn(follow_leader(self.state.clone()));
-            let owner = spawn(follow_owner(self.state));
+            let leader_exchange = spawn(exchange_with_leader(self.state.clone()));
+            let owner_exchange = spawn(exchange_with_owner(self.state.clone()));
+            let leader_recalls = spawn(poll_leader_recalls(self.state.clone()));
+            let owner_recalls = spawn(poll_owner_recalls(self.state));
             shutdown.wait().await;
-            for task in [below, above, leader, owner] {
+            for task in [
+                leader_exchange,
+                owner_exchange,
+                leader_recalls,
+                owner_recalls,
+            ] {
                 task.cancel().await;
             }
         })
--- a/crates/sequoiawing_router/src/controllers/keep.rs
+++ b/crates/sequoiawing_router/src/controllers/expire.rs
@@ -2,22 +2,23 @@
 use sequoiawing_runtime::{Shutdown, sleep};
 use std::{future::Future, pin::Pin, sync::Arc, time::Duration};
 
-/// How often expired upstreams are forgotten and deadlines looked at.
+/// How often expired upstreams are removed and the dispatchers check their
+/// deadlines.
 pub const INTERVAL: Duration = Duration::from_millis(50);
 
-/// Forgets upstreams that stopped announcing themselves, and lets time pass
-/// for the dispatchers.
-pub(crate) struct KeepRegistry {
+/// Removes upstreams whose announcements have expired, and drives the timers of
+/// the dispatchers.
+pub(crate) struct ExpireUpstreams {
     state: Arc<RouterState>,
 }
 
-impl KeepRegistry {
+impl ExpireUpstreams {
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
         Self { state }
     }
 }
 
-impl Controller for KeepRegistry {
+impl Controller for ExpireUpstreams {
     fn name(&self) -> &'static str {
         "registry"
     }
@@ -25,7 +26,7 @@
     fn run(self: Box<Self>, shutdown: Shutdown) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         Box::pin(async move {
             while shutdown.or(sleep(INTERVAL)).await.is_some() {
-                self.state.expire();
+                self.state.expire_upstreams();
             }
         })
     }
--- a/crates/sequoiawing_router/src/controllers/follow.rs
+++ b/crates/sequoiawing_router/src/controllers/follow.rs
@@ -12,41 +12,42 @@
     time::Duration,
 };
 
-/// How long a source may hold back its answer until the tables change.
+/// How long a source may delay its reply until the tables change.
 pub const POLL_WAIT: Duration = Duration::from_secs(5);
 
-/// How long a question to a source may take.
-const CALL_LIMIT: Duration = Duration::from_secs(8);
+/// The timeout of a request to a source.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long the router waits after no source answered.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The delay before the sources are polled again after none of them had recent
+/// tables.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The routers of a data centre that follow the controllers themselves; the
-/// others follow these.
-const RELAYS: usize = 2;
+/// The number of routers of a data centre that follow the controllers directly;
+/// the other routers follow these relays.
+const RELAY_COUNT: usize = 2;
 
-/// How old the tables of a relay may be before another source is asked.
+/// The age of a source's tables beyond which the next source is polled as well.
 const MAX_AGE: Duration = Duration::from_secs(12);
 
-/// The neighbours that are asked when no other source answers.
-const NEIGHBOURS: usize = 3;
+/// The number of routers that are polled when no other source has recent tables.
+const FALLBACK_COUNT: usize = 3;
 
-/// Where the tables come from.
+/// A source of the tables.
 #[derive(Clone, Copy, Debug)]
 enum Source {
     Controller(usize),
     /// A router that relays the tables.
     Relay(usize),
-    /// A router that may have tables when nothing else is reachable; it is not
-    /// waited for.
-    Neighbour(usize),
+    /// A router that may have tables when no other source is reachable; it replies
+    /// immediately.
+    Fallback(usize),
 }
 
-/// Follows the tables of the controllers, directly or through a relay of the
-/// data centre, and saves them.
+/// Follows the tables of the controllers, directly or through a relay in the
+/// data centre, and saves them to disk.
 ///
-/// A router that finds no source serves from what it saved, and one that saved
-/// nothing from a neighbour's.
+/// Without a reachable controller or relay, a router serves from its saved
+/// tables, or from those of another router if it has none.
 pub(crate) struct FollowTables {
     state: Arc<RouterState>,
     saved: Mutex<SavedTables>,
@@ -60,54 +61,55 @@
 
     async fn poll(&self) {
         for source in self.sources() {
-            let asked = self.state.now();
-            let answered = self.ask(source).await;
-            let since = match source {
+            let sent_at = self.state.now();
+            let result = self.fetch(source).await;
+            let delay = match source {
                 Source::Controller(_) | Source::Relay(_) => Duration::ZERO,
-                Source::Neighbour(_) => self.state.now().since(asked),
+                Source::Fallback(_) => self.state.now().since(sent_at),
             };
-            match answered {
-                Ok(published) if is_fresh(&published) => return self.take(published, since),
-                Ok(published) => self.take(published, since),
+            match result {
+                Ok(reply) if is_fresh(&reply) => return self.apply(reply, delay),
+                Ok(reply) => self.apply(reply, delay),
                 Err(error) => {
-                    log::debug!(target: "follow", "A source did not answer: {error}.");
+                    log::debug!(target: "follow", "A table source did not reply: {error}.");
                 }
             }
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 
-    /// Returns the sources in the order in which this router asks them.
+    /// Returns the sources in the order in which this router polls them.
     ///
-    /// A relay asks the controllers first, the others their relays; each host
-    /// begins at another one, so that the load spreads.
+    /// A relay polls the controllers first, other routers poll the relays first.
+    /// The start depends on the host, which spreads the load over the sources.
     fn sources(&self) -> Vec<Source> {
-        let controllers = rotated(self.state.control.len(), &self.state.settings.host);
+        let controllers = rotated_indexes(self.state.controllers.len(), &self.state.settings.host);
         let controllers = controllers.into_iter().map(Source::Controller);
         let peers = self.state.peers.all();
         let relays = self.relays();
         let is_relay = relays.contains(&self.state.settings.host);
         let index = |host: &Name| peers.iter().position(|p| p.host == *host);
         let relays: Vec<usize> = relays.iter().filter_map(index).collect();
-        let turn = rotated(relays.len(), &self.state.settings.host);
-        let relays = turn.into_iter().map(|i| Source::Relay(relays[i]));
-        let mut neighbours = rotated(peers.len(), &self.state.settings.host);
-        // Those of other data centres may all be cut off.
+        let order = rotated_indexes(relays.len(), &self.state.settings.host);
+        let relays = order.into_iter().map(|i| Source::Relay(relays[i]));
+        let mut fallbacks = rotated_indexes(peers.len(), &self.state.settings.host);
+        // Local routers come first, since those of other data centres may all be
+        // unreachable.
         let centre = &self.state.settings.centre;
-        neighbours.sort_by_key(|i| peers[*i].centre != *centre);
-        let neighbours = neighbours
+        fallbacks.sort_by_key(|i| peers[*i].centre != *centre);
+        let fallbacks = fallbacks
             .into_iter()
-            .take(NEIGHBOURS)
-            .map(Source::Neighbour);
+            .take(FALLBACK_COUNT)
+            .map(Source::Fallback);
         if is_relay {
-            controllers.chain(neighbours).collect()
+            controllers.chain(fallbacks).collect()
         } else {
-            relays.chain(controllers).chain(neighbours).collect()
+            relays.chain(controllers).chain(fallbacks).collect()
         }
     }
 
-    /// Returns how long a source may hold back its answer: short enough to
-    /// confirm keys well within their grace.
+    /// Returns how long a source may delay its reply, which is short enough to
+    /// confirm the keys well within their grace period.
     fn poll_wait(&self) -> Duration {
         match self.state.settings.key_grace {
             0 => POLL_WAIT,
@@ -115,47 +117,48 @@
         }
     }
 
-    /// Returns the hosts that relay the tables in this data centre.
+    /// Returns the hosts that act as relays in this data centre.
     fn relays(&self) -> Vec<Name> {
         let tables = self.state.tables.get();
         let members = tables.members(&self.state.settings.centre);
-        members.take(RELAYS).map(|h| h.host.clone()).collect()
+        members.take(RELAY_COUNT).map(|h| h.host.clone()).collect()
     }
 
-    async fn ask(&self, source: Source) -> Result<FollowReply, LinkError> {
+    async fn fetch(&self, source: Source) -> Result<FollowReply, LinkError> {
         let wait = match source {
             Source::Controller(_) | Source::Relay(_) => self.poll_wait(),
-            Source::Neighbour(_) => Duration::ZERO,
+            Source::Fallback(_) => Duration::ZERO,
         };
-        let question = FollowRequest {
+        let request = FollowRequest {
             host: self.state.settings.host.clone(),
             revision: self.state.tables.get().revision,
             wait: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
         };
         match source {
             Source::Controller(i) => {
-                let call = self.state.control[i].call(CALL_LIMIT, |client, context| async move {
-                    client.follow(context, question).await
-                });
+                let call = self.state.controllers[i]
+                    .call(CALL_TIMEOUT, |client, context| async move {
+                        client.follow(context, request).await
+                    });
                 call.await
             }
-            Source::Relay(i) | Source::Neighbour(i) => {
+            Source::Relay(i) | Source::Fallback(i) => {
                 let peers = self.state.peers.all();
                 let Some(peer) = peers.get(i) else {
                     return Ok(FollowReply::default());
                 };
-                let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
-                    client.follow(context, question).await
+                let call = peer.stub.call(CALL_TIMEOUT, |client, context| async move {
+                    client.follow(context, request).await
                 });
                 call.await
             }
         }
     }
 
-    fn take(&self, published: FollowReply, since: Duration) {
-        let age = Duration::from_millis(published.age);
-        self.state.confirm_tables(published.revision, age, since);
-        let Some(update) = published.update else {
+    fn apply(&self, reply: FollowReply, delay: Duration) {
+        let age = Duration::from_millis(reply.age);
+        self.state.confirm_tables(reply.revision, age, delay);
+        let Some(update) = reply.update else {
             return;
         };
         let mut tables = Tables::clone(&self.state.tables.get());
@@ -167,12 +170,13 @@
     }
 }
 
-fn is_fresh(published: &FollowReply) -> bool {
-    Duration::from_millis(published.age) <= MAX_AGE
+fn is_fresh(reply: &FollowReply) -> bool {
+    Duration::from_millis(reply.age) <= MAX_AGE
 }
 
-/// Returns the numbers below `count`, beginning at one that the host decides.
-pub(super) fn rotated(count: usize, host: &Name) -> Vec<usize> {
+/// Returns the indexes below `count`, rotated to a start that is derived from the
+/// host name.
+pub(super) fn rotated_indexes(count: usize, host: &Name) -> Vec<usize> {
     let mut hasher = DefaultHasher::new();
     host.hash(&mut hasher);
     let start = usize::try_from(hasher.finish() >> 32).unwrap_or(0);
--- a/crates/sequoiawing_router/src/controllers/keys.rs
+++ b/crates/sequoiawing_router/src/controllers/keys.rs
@@ -15,20 +15,20 @@
     time::Duration,
 };
 
-/// The file with the withdrawn keys, beside the tables.
+/// The file of withdrawn keys, in the same folder as the tables.
 const KEYS_FILE: &str = "withdrawn.json";
 
-/// How often withdrawals that the log lacks are sent again, so that they reach
-/// hosts that were cut off or restarted.
-const REPEAT: Duration = Duration::from_secs(1);
+/// How often withdrawals that are missing from the log are sent again, so that
+/// they reach hosts that were unreachable or restarting.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long telling another router may take.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of a call to another router.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How often the time of the last confirmation is saved, in milliseconds.
 const SAVE_INTERVAL: u64 = 60_000;
 
-/// What is saved of keys besides the tables.
+/// The state of keys that is saved in addition to the tables.
 #[derive(Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 struct SavedKeys {
@@ -36,24 +36,24 @@
     confirmed: u64,
 }
 
-/// Spreads and saves withdrawn keys.
+/// Propagates withdrawn keys to the other routers and the log, and saves them.
 ///
-/// A withdrawn key stays so for ever, so hosts join what they know without
-/// agreement; a withdrawal that the log lacks is also entered there. See
+/// A withdrawal is permanent, so hosts merge their sets without consensus.
+/// Withdrawals that are missing from the log are proposed to it as well. See
 /// [docs/SECURITY.md](../../../../docs/SECURITY.md).
-pub(crate) struct SpreadKeys {
+pub(crate) struct PropagateWithdrawals {
     state: Arc<RouterState>,
-    known: usize,
+    propagated: usize,
     saved: SavedKeys,
 }
 
-impl SpreadKeys {
+impl PropagateWithdrawals {
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
         let saved = SavedKeys::default();
-        let known = 0;
+        let propagated = 0;
         Self {
             state,
-            known,
+            propagated,
             saved,
         }
     }
@@ -65,56 +65,56 @@
 
     fn load(&mut self) {
         let Some(file) = self.file() else {
-            self.state.grace.confirm(wall_millis());
+            self.state.key_grace.confirm(wall_millis());
             return;
         };
         match read_keys(&file) {
             Ok(saved) => {
                 self.state.withdraw_keys(saved.withdrawn.iter().cloned());
-                self.state.grace.confirm(saved.confirmed);
+                self.state.key_grace.confirm(saved.confirmed);
                 self.saved = saved;
             }
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
-                self.state.grace.confirm(wall_millis());
+                self.state.key_grace.confirm(wall_millis());
             }
             Err(error) => {
                 let file = file.display();
-                log::error!(target: "keys", "Saved keys {file} are unreadable: {error}.");
+                log::error!(target: "keys", "Failed to read the saved keys from {file}: {error}.");
             }
         }
     }
 
-    /// Waits until a key is withdrawn or it is time to repeat.
+    /// Waits until a key is withdrawn or the resend interval has passed.
     async fn wait(&self) {
-        let known = self.known;
+        let propagated = self.propagated;
         let changed = async {
             self.state
                 .withdrawn
-                .wait_until(|keys| keys.len() > known)
+                .wait_until(|keys| keys.len() > propagated)
                 .await;
         };
-        changed.or(sleep(REPEAT)).await;
+        changed.or(sleep(RESEND_INTERVAL)).await;
     }
 
-    fn spread(&mut self) {
+    fn propagate(&mut self) {
         let all = self.state.withdrawn.get();
-        self.known = all.len();
+        self.propagated = all.len();
         self.save(&all);
         let tables = self.state.tables.get();
-        let fresh: Vec<KeyId> = all.difference(&tables.withdrawn).cloned().collect();
-        if fresh.is_empty() {
+        let unlogged: Vec<KeyId> = all.difference(&tables.withdrawn).cloned().collect();
+        if unlogged.is_empty() {
             return;
         }
         for peer in self.state.peers.all().iter() {
-            spawn(tell(peer, fresh.clone())).detach();
+            spawn(send_withdrawals(peer, unlogged.clone())).detach();
         }
-        spawn(enter(self.state.clone(), fresh)).detach();
+        spawn(propose_withdrawals(self.state.clone(), unlogged)).detach();
     }
 
     fn save(&mut self, all: &BTreeSet<KeyId>) {
-        let confirmed = self.state.grace.confirmed();
-        let is_old = confirmed >= self.saved.confirmed + SAVE_INTERVAL;
-        if all.len() == self.saved.withdrawn.len() && !is_old {
+        let confirmed = self.state.key_grace.confirmed();
+        let is_outdated = confirmed >= self.saved.confirmed + SAVE_INTERVAL;
+        if all.len() == self.saved.withdrawn.len() && !is_outdated {
             return;
         }
         let saved = SavedKeys {
@@ -124,30 +124,31 @@
         if let Some(file) = self.file()
             && let Err(error) = write_keys(&file, &saved)
         {
-            log::error!(target: "keys", "Withdrawn keys could not be saved: {error}.");
+            log::error!(target: "keys", "Failed to save the withdrawn keys: {error}.");
             return;
         }
         self.saved = saved;
     }
 }
 
-/// Tells another router; a lost call is made good by the next repeat.
-fn tell(peer: &PeerLink, keys: Vec<KeyId>) -> impl Future<Output = ()> + use<> {
+/// Sends withdrawals to another router. A failed call is repaired by the next
+/// resend.
+fn send_withdrawals(peer: &PeerLink, keys: Vec<KeyId>) -> impl Future<Output = ()> + use<> {
     let stub = peer.stub.clone();
     let host = peer.host.clone();
     async move {
-        let call = stub.call(CALL_LIMIT, |client, context| async move {
+        let call = stub.call(CALL_TIMEOUT, |client, context| async move {
             client.withdraw(context, keys).await
         });
         if let Err(error) = call.await {
-            log::debug!(target: "keys", "Host {host} was not told of withdrawn keys: {error}.");
+            log::debug!(target: "keys", "Failed to send withdrawn keys to {host}: {error}.");
         }
     }
 }
 
-/// Enters withdrawals in the log; all hosts use the same request, so that it
-/// is entered once.
-async fn enter(state: Arc<RouterState>, keys: Vec<KeyId>) {
+/// Proposes withdrawals to the log. All hosts use the same request identifier, so
+/// that the log applies each withdrawal once.
+async fn propose_withdrawals(state: Arc<RouterState>, keys: Vec<KeyId>) {
     for key in keys {
         let request = RequestId::from(format!("withdraw-{key}").as_str());
         let changes = vec![Change::WithdrawKey(key)];
@@ -168,19 +169,20 @@
     Ok(serde_json::from_slice(&bytes)?)
 }
 
-/// Replaces the file in one step, so that a crash leaves the old or the new.
+/// Replaces the file atomically, so that a crash leaves either the old or the new
+/// content.
 fn write_keys(file: &Path, keys: &SavedKeys) -> io::Result<()> {
     if let Some(folder) = file.parent() {
         fs::create_dir_all(folder)?;
     }
-    let fresh = file.with_extension("new");
-    let mut handle = fs::File::create(&fresh)?;
+    let temporary = file.with_extension("new");
+    let mut handle = fs::File::create(&temporary)?;
     handle.write_all(&serde_json::to_vec(keys)?)?;
     handle.sync_all()?;
-    fs::rename(&fresh, file)
+    fs::rename(&temporary, file)
 }
 
-impl Controller for SpreadKeys {
+impl Controller for PropagateWithdrawals {
     fn name(&self) -> &'static str {
         "keys"
     }
@@ -189,7 +191,7 @@
         Box::pin(async move {
             self.load();
             loop {
-                self.spread();
+                self.propagate();
                 if shutdown.or(self.wait()).await.is_none() {
                     return;
                 }
--- a/crates/sequoiawing_router/src/controllers/lease.rs
+++ b/crates/sequoiawing_router/src/controllers/lease.rs
@@ -5,46 +5,48 @@
 use sequoiawing_types::Name;
 use std::{collections::BTreeSet, future::Future, pin::Pin, sync::Arc, time::Duration};
 
-/// How often the member looks at the time.
+/// How often the member's timers are driven.
 const INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a request to another member may take; a later reply could not be
-/// counted any more.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of a request to another member. A later reply would no longer
+/// count.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Takes part in electing the leader of the data centre, and leads when it is
-/// elected.
-pub(crate) struct HoldLease {
+/// Takes part in the election of the data centre's leader, and holds the lease
+/// while this host is elected.
+pub(crate) struct ElectLeader {
     state: Arc<RouterState>,
 }
 
-impl HoldLease {
+impl ElectLeader {
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
         Self { state }
     }
 
-    /// Tells the cell what the tables and the upstreams say.
+    /// Passes the members in the tables and the highest fencing token of the upstreams
+    /// to the cell.
     fn observe(&self) {
         let tables = self.state.tables.get();
         let centre = &self.state.settings.centre;
         let epoch = tables.cell_epoch(centre).epoch;
         let members: BTreeSet<Name> = tables.members(centre).map(|h| h.host.clone()).collect();
-        self.state.cell_event(CellEvent::Members { epoch, members });
+        self.state
+            .handle_cell_event(CellEvent::Members { epoch, members });
         let fence = {
             let registry = self.state.registry.lock();
-            let here = registry.iter().filter(|s| s.centre == *centre);
-            here.map(|s| s.fence).max()
+            let local = registry.iter().filter(|s| s.centre == *centre);
+            local.map(|s| s.fence).max()
         };
         if let Some(fence) = fence {
-            self.state.cell_event(CellEvent::Fence(fence));
+            self.state.handle_cell_event(CellEvent::Fence(fence));
         }
     }
 }
 
 impl RouterState {
-    /// Passes an event to this member of the cell and carries out what it
-    /// wants done.
-    pub(crate) fn cell_event(self: &Arc<Self>, event: CellEvent) {
+    /// Passes an event to this member of the cell and executes the resulting
+    /// actions.
+    pub(crate) fn handle_cell_event(self: &Arc<Self>, event: CellEvent) {
         let mut out = Vec::new();
         let now = self.now();
         {
@@ -53,12 +55,12 @@
             *self.leader.write() = cell.leader(now).cloned();
         }
         for action in out {
-            self.cell_action(action);
+            self.execute_cell_action(action);
         }
     }
 
-    /// Answers another member of the cell.
-    pub(crate) fn cell_request(&self, request: CellRequest) -> Option<CellReply> {
+    /// Handles a request from another member of the cell.
+    pub(crate) fn handle_cell_request(&self, request: CellRequest) -> Option<CellReply> {
         let mut out = Vec::new();
         let now = self.now();
         let mut cell = self.cell.lock();
@@ -70,37 +72,38 @@
         })
     }
 
-    fn cell_action(self: &Arc<Self>, action: CellAction) {
+    fn execute_cell_action(self: &Arc<Self>, action: CellAction) {
         match action {
-            CellAction::Send { to, request } => self.ask_member(&to, request),
+            CellAction::Send { to, request } => self.send_to_member(&to, request),
             CellAction::Reply(_) => {}
             CellAction::LeaseAcquired { term } => {
                 log::info!(target: "cell", "This host leads its data centre in term {term}.");
             }
             CellAction::LeaseLost => {
-                log::warn!(target: "cell", "This host does not lead its data centre any more.");
+                log::warn!(target: "cell", "This host no longer leads its data centre.");
             }
             CellAction::Settled { epoch } => self.settle_epoch(epoch),
         }
     }
 
-    fn ask_member(self: &Arc<Self>, to: &Name, request: CellRequest) {
+    fn send_to_member(self: &Arc<Self>, to: &Name, request: CellRequest) {
         let Some(peer) = self.peers.get(to) else {
             return;
         };
         let state = self.clone();
         spawn(async move {
-            let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
+            let call = peer.stub.call(CALL_TIMEOUT, |client, context| async move {
                 client.cell(context, request).await
             });
             if let Ok(Some(reply)) = call.await {
-                state.cell_event(CellEvent::Reply(reply));
+                state.handle_cell_event(CellEvent::Reply(reply));
             }
         })
         .detach();
     }
 
-    /// Lets the log change the members again.
+    /// Proposes to mark the epoch as settled, which allows the next membership change
+    /// in the log.
     fn settle_epoch(self: &Arc<Self>, epoch: u64) {
         let state = self.clone();
         spawn(async move {
@@ -114,14 +117,14 @@
                 if state.propose(command).await.is_some() {
                     return;
                 }
-                sleep(CALL_LIMIT).await;
+                sleep(CALL_TIMEOUT).await;
             }
         })
         .detach();
     }
 }
 
-impl Controller for HoldLease {
+impl Controller for ElectLeader {
     fn name(&self) -> &'static str {
         "cell"
     }
@@ -130,9 +133,9 @@
         Box::pin(async move {
             while shutdown.or(sleep(INTERVAL)).await.is_some() {
                 self.observe();
-                self.state.cell_event(CellEvent::Tick);
+                self.state.handle_cell_event(CellEvent::Tick);
             }
-            self.state.cell_event(CellEvent::Resign);
+            self.state.handle_cell_event(CellEvent::Resign);
         })
     }
 }
--- a/crates/sequoiawing_router/src/controllers/measure.rs
+++ b/crates/sequoiawing_router/src/controllers/metrics.rs
@@ -4,54 +4,55 @@
 use sequoiawing_types::Name;
 use std::{future::Future, pin::Pin, sync::Arc, time::Duration};
 
-/// How often the state is measured.
+/// How often the metrics of the state are updated.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Measures the router's state and serves all its measures to scrapers.
-pub(crate) struct MeasureState {
+/// Updates the metrics of the router's state and serves all metrics to scrapers.
+pub(crate) struct ExportMetrics {
     state: Arc<RouterState>,
 }
 
-impl MeasureState {
+impl ExportMetrics {
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
         Self { state }
     }
 
-    async fn listen(&self, meters: &Arc<Meters>, shutdown: &Shutdown) {
+    async fn serve(&self, meters: &Arc<Meters>, shutdown: &Shutdown) {
         let Some(address) = self.state.settings.metrics else {
             return;
         };
-        let served = serve_metrics(address, meters.clone(), shutdown.clone()).await;
-        if let Err(error) = served {
-            log::error!(target: "metrics", "Metrics are not served at {address}: {error}.");
+        let result = serve_metrics(address, meters.clone(), shutdown.clone()).await;
+        if let Err(error) = result {
+            log::error!(target: "metrics", "Failed to serve metrics at {address}: {error}.");
         }
     }
 
-    fn measure(&self, meters: &Meters) {
+    fn update_metrics(&self, meters: &Meters) {
         let status = self.state.status();
         meters.set_upstreams(status.upstreams);
         meters.set_requests(status.waiting, status.open);
-        let leading = self.state.lease().is_some();
-        meters.set_state(status.revision.0, leading);
-        if leading {
+        let is_leading = self.state.lease().is_some();
+        meters.set_state(status.revision.0, is_leading);
+        if is_leading {
             for pool in self.idle_runners() {
                 meters.record_idle_time(&pool, INTERVAL);
             }
         }
     }
 
-    /// Returns the pool of each runner of the data centre that holds a model
-    /// and runs nothing; only the cell leader counts, so that each counts once.
+    /// Returns the pool of each runner of the data centre that has a model loaded
+    /// and runs no request. Only the cell leader reports them, so that each runner
+    /// is counted once.
     fn idle_runners(&self) -> Vec<Name> {
         let centre = &self.state.settings.centre;
         let registry = self.state.registry.lock();
-        let here = registry.iter().filter(|u| u.centre == *centre);
-        let idle = here.filter(|u| !u.loaded.is_empty() && u.running == 0);
+        let local = registry.iter().filter(|u| u.centre == *centre);
+        let idle = local.filter(|u| !u.loaded.is_empty() && u.running == 0);
         idle.map(|u| u.pool.clone()).collect()
     }
 }
 
-impl Controller for MeasureState {
+impl Controller for ExportMetrics {
     fn name(&self) -> &'static str {
         "metrics"
     }
@@ -59,12 +60,15 @@
     fn run(self: Box<Self>, shutdown: Shutdown) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         Box::pin(async move {
             let Some(meters) = self.state.meters.clone() else {
-                log::error!(target: "metrics", "Metrics cannot be collected.");
+                log::error!(
+                    target: "metrics",
+                    "Metrics are disabled because the meters failed to initialize."
+                );
                 return;
             };
-            self.listen(&meters, &shutdown).await;
+            self.serve(&meters, &shutdown).await;
             while shutdown.or(sleep(INTERVAL)).await.is_some() {
-                self.measure(&meters);
+                self.update_metrics(&meters);
             }
         })
     }
--- a/crates/sequoiawing_router/src/controllers/placement.rs
+++ b/crates/sequoiawing_router/src/controllers/placement.rs
@@ -22,49 +22,56 @@
     time::Duration,
 };
 
-/// How often the leader looks over its decisions.
+/// How often the leader updates its placement decisions.
 pub const INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an order or a demand may take to be answered.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// The timeout of an order or a demand.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a router listens after it has started until every upstream that
-/// may hold a replica has announced itself; they do so every second at least.
-const LISTENING: Duration = Duration::from_secs(2);
+/// How long after the start of a router every upstream that may hold a replica
+/// has announced itself. Upstreams do so at least once per second.
+const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// The path by which upstreams take orders.
+/// The HTTP path at which upstreams accept orders.
 const ORDER_PATH: &str = "/sequoiawing/orders";
 
-/// Where demands from other routers of the data centre reach the leader.
+/// A handle that passes demands to the placer of this host.
 #[derive(Clone)]
-pub(crate) struct LeaderDemands {
+pub(crate) struct PlacerHandle {
     sender: Sender<(Demand, Sender<DemandStatus>)>,
 }
 
-impl LeaderDemands {
-    /// Answers a demand from another router.
+impl PlacerHandle {
+    /// Handles a demand from another router.
     ///
-    /// One from another data centre names this one and is handed on to the
-    /// leader; one from this data centre is for this host.
-    pub(crate) async fn answer(&self, state: &RouterState, mut demand: Demand) -> DemandStatus {
+    /// A demand from another data centre names this one and is forwarded to the
+    /// leader; a demand from this data centre is handled by this host.
+    pub(crate) async fn handle_demand(
+        &self,
+        state: &RouterState,
+        mut demand: Demand,
+    ) -> DemandStatus {
         if demand.centre != state.settings.centre {
-            return self.ask(demand).await;
+            return self.submit(demand).await;
         }
         demand.centre = Name::default();
-        ask_leader(state, self, demand).await.unwrap_or_default()
+        send_to_leader(state, self, demand)
+            .await
+            .unwrap_or_default()
     }
 
-    /// Asks the leader's placer, if this host leads.
-    pub(crate) async fn ask(&self, demand: Demand) -> DemandStatus {
-        let (reply, answer) = async_channel::bounded(1);
-        if self.sender.send((demand, reply)).await.is_err() {
+    /// Passes a demand to the placer of this host.
+    pub(crate) async fn submit(&self, demand: Demand) -> DemandStatus {
+        let (reply_sender, reply_receiver) = async_channel::bounded(1);
+        if self.sender.send((demand, reply_sender)).await.is_err() {
             return DemandStatus::default();
         }
-        answer.recv().await.unwrap_or_default()
+        reply_receiver.recv().await.unwrap_or_default()
     }
 }
 
-/// Runs the decisions of the data centre's leader, or forwards demands to it.
+/// Runs the placer of this host, which decides while the host leads, and forwards
+/// demands to the leader otherwise.
 pub(crate) struct PlaceModels {
     state: Arc<RouterState>,
 }
@@ -79,27 +86,29 @@
     state: Arc<RouterState>,
     placer: Placer,
     configured: Arc<Tables>,
-    /// What the tasks of a term have to tell; what an earlier term's tell late
-    /// says nothing about this one.
+    /// Events from spawned tasks with the term in which each task began; events of
+    /// earlier terms are ignored.
     events: Sender<(u64, PlaceEvent)>,
-    /// The term in which the placer was told what an earlier leader recorded.
-    inherited: u64,
+    /// The term in which the placer received the counts recorded by an earlier
+    /// leader.
+    inherited_term: u64,
     credits: StoreCredits,
-    /// Grows with each start, so that no order's identifier is used again.
-    seed: u64,
-    /// Numbers the commands to the log.
+    /// The base of order identifiers, which increases with each start so that no
+    /// identifier is reused.
+    order_base: u64,
+    /// The serial number of the last command to the log.
     serial: u64,
 }
 
 impl Placement {
-    /// Takes in what changed since the last look.
+    /// Passes all changes since the last call to the placer and executes its actions.
     fn refresh(&mut self) {
         let now = self.state.now();
         let tables = self.state.tables.get();
-        let (here, news) = {
+        let (local, changes) = {
             let mut registry = self.state.registry.lock();
-            let here: Vec<Arc<UpstreamState>> = registry.local().cloned().collect();
-            (here, registry.take_changes())
+            let local: Vec<Arc<UpstreamState>> = registry.local().cloned().collect();
+            (local, registry.take_changes())
         };
         if !Arc::ptr_eq(&tables, &self.configured) {
             let pools = tables.pools.values().cloned().collect();
@@ -108,39 +117,37 @@
             self.handle(PlaceEvent::Centres { centres });
             self.configured = tables;
         }
-        for (upstream, state) in news {
+        for (upstream, state) in changes {
             self.handle(match state {
                 Some(state) => PlaceEvent::Announced(state),
                 None => PlaceEvent::Gone { upstream },
             });
         }
-        for state in here {
+        for state in local {
             self.handle(PlaceEvent::Announced(state));
         }
-        let leading = self.leading();
-        self.handle(PlaceEvent::LeadershipChanged {
-            leadership: leading,
-        });
-        self.hear_cell(leading.map_or(0, |l| l.term));
+        let leadership = self.leadership();
+        self.handle(PlaceEvent::LeadershipChanged { leadership });
+        self.apply_cell_state(leadership.map_or(0, |l| l.term));
         for event in self.credits.exchange(now, &self.placer) {
             self.handle(event);
         }
         let mut out = Vec::new();
         self.placer.handle(now, PlaceEvent::Tick, &mut out);
-        self.act(out);
+        self.execute(out);
     }
 
-    /// Tells the placer what the members of the cell remember.
-    fn hear_cell(&mut self, term: u64) {
+    /// Passes the counts recorded by the members of the cell to the placer.
+    fn apply_cell_state(&mut self, term: u64) {
         let now = self.state.now();
         let (shares, recorded) = {
             let cell = self.state.cell.lock();
-            let is_new = term > self.inherited;
+            let is_new = term > self.inherited_term;
             let shares = cell.shares(now).filter(|_| is_new).cloned();
             (shares, cell.recorded(now))
         };
         if let Some(record) = shares {
-            self.inherited = term;
+            self.inherited_term = term;
             let counts = record.counts.into_iter();
             let counts = counts.map(|c| ((c.pool, c.model), c.count)).collect();
             self.handle(PlaceEvent::Inherited { counts });
@@ -151,23 +158,23 @@
         }
     }
 
-    /// Returns the cell's term while this host leads.
+    /// Returns the leadership of this host, or `None` if it does not lead.
     ///
-    /// An earlier lease has run out before this one began; its orders may still
-    /// be on their way.
-    fn leading(&self) -> Option<Leadership> {
+    /// The previous lease expired before this one began, but its orders may still
+    /// be in flight.
+    fn leadership(&self) -> Option<Leadership> {
         self.state.lease().map(|l| Leadership {
             term: l.term,
-            order_base: self.seed,
+            order_base: self.order_base,
             order_grace: PlaceSettings::default().order_lifetime,
-            discovery_wait: LISTENING.saturating_sub(self.state.now().since(Time::ZERO)),
+            discovery_wait: DISCOVERY_TIME.saturating_sub(self.state.now().since(Time::ZERO)),
         })
     }
 
     fn handle(&mut self, event: PlaceEvent) {
         let mut out = Vec::new();
         self.placer.handle(self.state.now(), event, &mut out);
-        self.act(out);
+        self.execute(out);
     }
 
     fn demand(&mut self, demand: &Demand) -> DemandStatus {
@@ -178,31 +185,33 @@
         }
         let mut out = Vec::new();
         let state = self.placer.demand(self.state.now(), demand, &mut out);
-        self.act(out);
+        self.execute(out);
         state
     }
 
-    fn act(&mut self, actions: Vec<PlaceAction>) {
+    fn execute(&mut self, actions: Vec<PlaceAction>) {
         for action in actions {
             match action {
                 PlaceAction::Send { upstream, order } => self.send(&upstream, order),
                 PlaceAction::Allot { pool, model, want } => self.allot(pool, model, want),
                 PlaceAction::Record { number, counts } => self.record(number, counts),
                 PlaceAction::Recall { pool, model } => self.recall(&pool, &model),
-                PlaceAction::ReportDemand { loads, adapters } => self.credits.want(loads, adapters),
+                PlaceAction::ReportDemand { loads, adapters } => {
+                    self.credits.set_demand(loads, adapters);
+                }
             }
         }
     }
 
     fn send(&self, upstream: &Name, order: Order) {
-        let known = self.state.registry.lock();
-        let address = known.get(upstream).and_then(|s| s.address);
-        drop(known);
+        let registry = self.state.registry.lock();
+        let address = registry.get(upstream).and_then(|s| s.address);
+        drop(registry);
         let Some(address) = address else {
             return;
         };
         let address = self.state.translations.translate(address);
-        log::info!(target: "placement", "Sending {upstream} the order {:?}.", order.kind);
+        log::info!(target: "placement", "Sending order {:?} to {upstream}.", order.kind);
         let state = self.state.clone();
         let events = self.events.clone();
         spawn(async move {
@@ -218,7 +227,7 @@
     }
 
     fn allot(&mut self, pool: Name, model: Name, want: u32) {
-        let Some(term) = self.leading().map(|l| l.term) else {
+        let Some(term) = self.leadership().map(|l| l.term) else {
             return;
         };
         let state = self.state.clone();
@@ -245,22 +254,25 @@
     }
 
     fn record(&self, number: u64, counts: BTreeMap<(Name, Name), u32>) {
-        let Some(term) = self.leading().map(|l| l.term) else {
+        let Some(term) = self.leadership().map(|l| l.term) else {
             return;
         };
         let counts = counts.into_iter();
         let counts = counts.map(|((pool, model), count)| ShareCount { pool, model, count });
-        self.state.cell_event(CellEvent::Record {
+        self.state.handle_cell_event(CellEvent::Record {
             version: Version { term, number },
             counts: counts.collect(),
         });
     }
 
-    /// Asks the leaders of all other data centres to release their unused share.
+    /// Asks the leaders of all other data centres to release their unused shares.
     fn recall(&self, pool: &Name, model: &Name) {
-        let own = &self.state.settings.centre;
+        let own_centre = &self.state.settings.centre;
         let hosts = self.configured.hosts.values();
-        let centres: BTreeSet<&Name> = hosts.map(|h| &h.centre).filter(|c| *c != own).collect();
+        let centres: BTreeSet<&Name> = hosts
+            .map(|h| &h.centre)
+            .filter(|c| *c != own_centre)
+            .collect();
         for centre in centres {
             let demand = Demand {
                 host: self.state.settings.host.clone(),
@@ -272,15 +284,15 @@
             };
             let state = self.state.clone();
             spawn(async move {
-                ask_elsewhere(&state, demand).await;
+                send_to_remote_centre(&state, demand).await;
             })
             .detach();
         }
     }
 
-    /// Takes in an event of this term.
-    fn hear(&mut self, term: u64, event: PlaceEvent) {
-        if self.leading().is_some_and(|l| l.term == term) {
+    /// Handles an event from a task unless it is of another term.
+    fn handle_task_event(&mut self, term: u64, event: PlaceEvent) {
+        if self.leadership().is_some_and(|l| l.term == term) {
             self.handle(event);
         }
     }
@@ -300,72 +312,73 @@
         .body(from_bytes(json))
         .ok()?;
     let exchange = async {
-        let answer = state.client.send(to, request).await.ok()?;
-        let body = answer.into_body().collect().await.ok()?;
+        let response = state.client.send(to, request).await.ok()?;
+        let body = response.into_body().collect().await.ok()?;
         serde_json::from_slice(&body.to_bytes()).ok()
     };
-    timeout(CALL_LIMIT, exchange).await.flatten()
+    timeout(CALL_TIMEOUT, exchange).await.flatten()
 }
 
-/// Takes the demands of this router's dispatchers to the leader.
-async fn forward_demands(state: Arc<RouterState>, leader: LeaderDemands) {
+/// Forwards the demands of this router's dispatchers to the leader.
+async fn forward_demands(state: Arc<RouterState>, placer: PlacerHandle) {
     while let Ok(demand) = state.demands.recv().await {
         let state = state.clone();
-        let leader = leader.clone();
+        let placer = placer.clone();
         spawn(async move {
             let target = demand
                 .adapter
                 .clone()
                 .unwrap_or_else(|| demand.model.clone());
             let shard = state.shard(&demand.pool);
-            let answered = ask_leader(&state, &leader, demand).await;
-            if let Some(state) = answered {
+            let status = send_to_leader(&state, &placer, demand).await;
+            if let Some(state) = status {
                 let model = target;
-                shard.event(DispatchEvent::DemandAnswered { model, state });
+                shard.handle_event(DispatchEvent::DemandAnswered { model, state });
             }
         })
         .detach();
     }
 }
 
-/// Asks the leader of the data centre that the demand names.
-async fn ask_leader(
+/// Sends a demand to the leader of the data centre that it names.
+async fn send_to_leader(
     state: &RouterState,
-    leader: &LeaderDemands,
+    placer: &PlacerHandle,
     demand: Demand,
 ) -> Option<DemandStatus> {
-    let own = &state.settings.centre;
-    if !demand.centre.as_str().is_empty() && demand.centre != *own {
-        return ask_elsewhere(state, demand).await;
+    let own_centre = &state.settings.centre;
+    if !demand.centre.as_str().is_empty() && demand.centre != *own_centre {
+        return send_to_remote_centre(state, demand).await;
     }
     let host = state.leader.read().clone()?;
     if host == state.settings.host {
-        return Some(leader.ask(demand).await);
+        return Some(placer.submit(demand).await);
     }
     let peer = state.peers.get(&host)?;
-    let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
+    let call = peer.stub.call(CALL_TIMEOUT, |client, context| async move {
         client.demand(context, vec![demand]).await
     });
     call.await.ok()?.pop()
 }
 
-/// Asks a router of another data centre, which knows its leader.
-async fn ask_elsewhere(state: &RouterState, demand: Demand) -> Option<DemandStatus> {
+/// Sends a demand to a router of another data centre, which forwards it to its
+/// leader.
+async fn send_to_remote_centre(state: &RouterState, demand: Demand) -> Option<DemandStatus> {
     let peers = state.peers.all();
-    let there: Vec<_> = peers.iter().filter(|p| p.centre == demand.centre).collect();
-    let turn = usize::try_from(state.next_request()).unwrap_or(0);
-    let peer = there.get(turn % there.len().max(1))?;
-    let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
+    let routers: Vec<_> = peers.iter().filter(|p| p.centre == demand.centre).collect();
+    let index = usize::try_from(state.next_request()).unwrap_or(0);
+    let peer = routers.get(index % routers.len().max(1))?;
+    let call = peer.stub.call(CALL_TIMEOUT, |client, context| async move {
         client.demand(context, vec![demand]).await
     });
     call.await.ok()?.pop()
 }
 
 impl PlaceModels {
-    async fn work(
+    async fn run_placer(
         state: Arc<RouterState>,
         demands: Receiver<(Demand, Sender<DemandStatus>)>,
-        leader: LeaderDemands,
+        placer: PlacerHandle,
     ) {
         let (events, incoming) = async_channel::unbounded();
         let settings = PlaceSettings {
@@ -376,17 +389,17 @@
             state: state.clone(),
             placer: Placer::new(settings),
             configured: Arc::default(),
-            inherited: 0,
+            inherited_term: 0,
             credits: StoreCredits::new(state.clone()),
             events,
-            seed: state.start,
+            order_base: state.start,
             serial: 0,
         };
-        let _forwarding = spawn(forward_demands(state, leader));
+        let _forwarding = spawn(forward_demands(state, placer));
         loop {
             sleep(INTERVAL).await;
             while let Ok((term, event)) = incoming.try_recv() {
-                placement.hear(term, event);
+                placement.handle_task_event(term, event);
             }
             placement.refresh();
             while let Ok((demand, reply)) = demands.try_recv() {
@@ -404,10 +417,12 @@
 
     fn run(self: Box<Self>, shutdown: Shutdown) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let (sender, demands) = async_channel::unbounded();
-        let leader = LeaderDemands { sender };
-        *self.state.placement.lock() = Some(leader.clone());
+        let placer = PlacerHandle { sender };
+        *self.state.placer.lock() = Some(placer.clone());
         Box::pin(async move {
-            shutdown.or(Self::work(self.state, demands, leader)).await;
+            shutdown
+                .or(Self::run_placer(self.state, demands, placer))
+                .await;
         })
     }
 }
--- a/crates/sequoiawing_router/src/controllers/relay.rs
+++ b/crates/sequoiawing_router/src/controllers/relay.rs
@@ -1,4 +1,4 @@
-use crate::{Controller, RouterState, controllers::summarise::Speaker, peers::PeerLink};
+use crate::{Controller, RouterState, controllers::summary::SummarySender, peers::PeerLink};
 use sequoiawing_fleet::{LoadDelta, RelayedState, Summary};
 use sequoiawing_link::{ExchangeReply, UpstreamBatch};
 use sequoiawing_runtime::{Shutdown, sleep, spawn};
@@ -11,83 +11,82 @@
     time::Duration,
 };
 
-/// How long changes are collected before they are sent on together.
+/// How long changes are collected before they are sent in one batch.
 const INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often loads are sent to the routers of the data centre.
 pub const LOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The shortest time that an upstream counts as alive on the other routers of
-/// the data centre after its last relayed load, in milliseconds.
-const LOCAL_LIFETIME: u64 = 2_500;
+/// The minimum lifetime of a relayed announcement on the other routers of the
+/// data centre, in milliseconds.
+const MIN_LIFETIME_MS: u64 = 2_500;
 
-/// How long a router goes on relaying an upstream that announces itself to it
-/// no more.
-const OWN_LIFETIME: Duration = Duration::from_secs(20);
+/// How long a router relays an upstream after its last direct announcement.
+const RELAY_PERIOD: Duration = Duration::from_secs(20);
 
-/// How long a batch may take.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of a call that sends a batch.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the other routers have not been told yet.
+/// Updates that have not been sent to the other routers yet.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    /// Upstreams that said something new.
+    /// Upstreams with a changed announcement.
     changed: BTreeSet<Name>,
-    /// Upstreams that announced themselves to this router lately.
-    own: BTreeMap<Name, Heard>,
-    /// Summaries of other data centres to pass on in this one.
-    spread: Vec<Summary>,
+    /// Upstreams that recently announced themselves to this router.
+    own: BTreeMap<Name, OwnUpstream>,
+    /// Summaries of other data centres to forward within this one.
+    summaries: Vec<Summary>,
 }
 
-/// When an upstream announced itself last, and what it said to be active since
-/// its load was relayed.
+/// An upstream that announces itself to this router.
 #[derive(Debug)]
-struct Heard {
-    at: Time,
+struct OwnUpstream {
+    last_heard: Time,
+    /// The models and adapters reported as active since the load was last relayed.
     active: BTreeSet<Name>,
 }
 
 impl Outbox {
-    /// Notes that an upstream is gone.
-    pub(crate) fn lose(&mut self, upstream: &Name) {
+    /// Removes an upstream that has expired.
+    pub(crate) fn remove_upstream(&mut self, upstream: &Name) {
         self.own.remove(upstream);
     }
 
-    /// Notes that an upstream announced itself.
-    pub(crate) fn hear(&mut self, at: Time, name: Name, active: Vec<Name>, is_changed: bool) {
+    /// Records an announcement or renewal of an upstream.
+    pub(crate) fn record(&mut self, at: Time, name: Name, active: Vec<Name>, is_changed: bool) {
         if is_changed {
             self.changed.insert(name.clone());
         }
-        let unheard = || Heard {
-            at,
+        let make = || OwnUpstream {
+            last_heard: at,
             active: BTreeSet::new(),
         };
-        let heard = self.own.entry(name).or_insert_with(unheard);
-        heard.at = at;
-        heard.active.extend(active);
+        let upstream = self.own.entry(name).or_insert_with(make);
+        upstream.last_heard = at;
+        upstream.active.extend(active);
     }
 
-    /// Notes a summary of another data centre that the routers here need too.
-    pub(crate) fn pass(&mut self, summary: Summary) {
-        self.spread.push(summary);
+    /// Queues a summary of another data centre for the other routers of this one.
+    pub(crate) fn forward(&mut self, summary: Summary) {
+        self.summaries.push(summary);
     }
 }
 
-/// Tells the other routers of the data centre what upstreams announced to this
-/// one, and, where this router speaks for its data centre, the other data
-/// centres what is loaded where.
+/// Relays announcements of upstreams to the other routers of the data centre and
+/// summaries to the other data centres.
 ///
-/// Here changes go to all at once, and loads in between.
+/// Changes are sent to all routers of the data centre in every batch, loads at a
+/// longer interval.
 pub(crate) struct RelayAnnouncements {
     state: Arc<RouterState>,
-    speaker: Speaker,
+    summary_sender: SummarySender,
     next_load: Time,
 }
 
 impl RelayAnnouncements {
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
         Self {
-            speaker: Speaker::new(state.clone()),
+            summary_sender: SummarySender::new(state.clone()),
             state,
             next_load: Time::ZERO,
         }
@@ -95,34 +94,34 @@
 
     fn flush(&mut self) {
         let now = self.state.now();
-        let load_due = now >= self.next_load;
-        if load_due {
+        let is_load_due = now >= self.next_load;
+        if is_load_due {
             self.next_load = now + LOAD_INTERVAL;
         }
-        let batch = self.collect(now, load_due);
+        let batch = self.collect(now, is_load_due);
         let peers = self.state.peers.all();
         let centre = &self.state.settings.centre;
         for peer in peers.iter().filter(|p| p.centre == *centre) {
-            send(&self.state, vec![peer.clone()], batch.clone());
+            send_to_first(&self.state, vec![peer.clone()], batch.clone());
         }
-        self.speaker.speak(now, &peers);
+        self.summary_sender.send_due(now, &peers);
     }
 
-    /// Takes what is to be sent in the data centre; the loads only when they
-    /// are due.
-    fn collect(&self, now: Time, load_due: bool) -> UpstreamBatch {
+    /// Takes the pending updates for the routers of the data centre, with the loads
+    /// only if they are due.
+    fn collect(&self, now: Time, is_load_due: bool) -> UpstreamBatch {
         let mut outbox = self.state.outbox.lock();
         let changed = std::mem::take(&mut outbox.changed);
-        let summaries = std::mem::take(&mut outbox.spread);
+        let summaries = std::mem::take(&mut outbox.summaries);
         outbox
             .own
-            .retain(|_, heard| now.since(heard.at) < OWN_LIFETIME);
+            .retain(|_, upstream| now.since(upstream.last_heard) < RELAY_PERIOD);
         let registry = self.state.registry.lock();
         let own = outbox.own.iter_mut();
-        let own = own.filter(|(name, _)| load_due && !changed.contains(*name));
+        let own = own.filter(|(name, _)| is_load_due && !changed.contains(*name));
         let loads: Vec<LoadDelta> = own
-            .filter_map(|(name, heard)| {
-                let active = std::mem::take(&mut heard.active);
+            .filter_map(|(name, upstream)| {
+                let active = std::mem::take(&mut upstream.active);
                 registry.load_delta(name, &active)
             })
             .collect();
@@ -131,7 +130,7 @@
             .filter_map(|name| registry.relayed_state(name));
         UpstreamBatch {
             source: self.state.source(),
-            states: states.map(extended).collect(),
+            states: states.map(with_min_lifetime).collect(),
             loads,
             summaries,
             spread: false,
@@ -139,15 +138,19 @@
     }
 }
 
-/// Sends a batch to the first of the routers that takes it.
-pub(super) fn send(state: &Arc<RouterState>, routers: Vec<PeerLink>, batch: UpstreamBatch) {
+/// Sends a batch to the first of the routers that accepts it.
+pub(super) fn send_to_first(
+    state: &Arc<RouterState>,
+    routers: Vec<PeerLink>,
+    batch: UpstreamBatch,
+) {
     if batch.states.is_empty() && batch.loads.is_empty() && batch.summaries.is_empty() {
         return;
     }
     let state = state.clone();
     spawn(async move {
         for peer in routers {
-            if deliver(&state, &peer, batch.clone()).await {
+            if send_batch(&state, &peer, batch.clone()).await {
                 return;
             }
         }
@@ -155,44 +158,45 @@
     .detach();
 }
 
-/// Sends a batch, and whole what the receiver could not use. A lost batch is
-/// made good by the next one, whose indexes or serials the receiver does not
-/// know.
-async fn deliver(state: &RouterState, peer: &PeerLink, batch: UpstreamBatch) -> bool {
+/// Sends a batch, followed by full states and summaries where the receiver
+/// reports them missing. A lost batch is repaired after the next one, because the
+/// receiver does not know its indexes or serial numbers.
+async fn send_batch(state: &RouterState, peer: &PeerLink, batch: UpstreamBatch) -> bool {
     let spread = batch.spread;
-    let Some(missing) = exchange(peer, batch).await else {
+    let Some(missing) = call_exchange(peer, batch).await else {
         return false;
     };
     if missing.is_empty() {
         return true;
     }
-    let whole = state.whole(&missing, spread);
-    exchange(peer, whole).await.is_some()
+    let full_batch = state.full_batch(&missing, spread);
+    call_exchange(peer, full_batch).await.is_some()
 }
 
-/// Has a relayed announcement hold at least until the next relayed loads can
-/// have come, also when one batch is lost.
-fn extended(mut relayed: RelayedState) -> RelayedState {
-    relayed.state.lifetime = relayed.state.lifetime.max(LOCAL_LIFETIME);
+/// Extends the lifetime of a relayed announcement to cover the time until the
+/// next relayed load, even if one batch is lost.
+fn with_min_lifetime(mut relayed: RelayedState) -> RelayedState {
+    relayed.state.lifetime = relayed.state.lifetime.max(MIN_LIFETIME_MS);
     relayed
 }
 
-async fn exchange(peer: &PeerLink, batch: UpstreamBatch) -> Option<ExchangeReply> {
-    let call = peer.stub.call(CALL_LIMIT, |client, context| async move {
+async fn call_exchange(peer: &PeerLink, batch: UpstreamBatch) -> Option<ExchangeReply> {
+    let call = peer.stub.call(CALL_TIMEOUT, |client, context| async move {
         client.exchange(context, batch).await
     });
     match call.await {
         Ok(missing) => Some(missing),
         Err(error) => {
-            log::debug!(target: "relay", "A batch was not delivered: {error}.");
+            log::debug!(target: "relay", "Failed to send a batch of upstream updates: {error}.");
             None
         }
     }
 }
 
 impl RouterState {
-    /// Returns a batch with what another router asked to be sent whole.
-    fn whole(&self, missing: &ExchangeReply, spread: bool) -> UpstreamBatch {
+    /// Returns a batch with the full states and summaries that another router is
+    /// missing.
+    fn full_batch(&self, missing: &ExchangeReply, spread: bool) -> UpstreamBatch {
         let registry = self.registry.lock();
         let states = missing.indexes.iter();
         let states = states.filter_map(|index| registry.relayed_by_index(*index));
@@ -205,7 +209,7 @@
         });
         UpstreamBatch {
             source: self.source(),
-            states: states.map(extended).collect(),
+            states: states.map(with_min_lifetime).collect(),
             loads: Vec::new(),
             summaries: summaries.collect(),
             spread,
--- a/crates/sequoiawing_router/src/controllers/store_credits.rs
+++ b/crates/sequoiawing_router/src/controllers/store_credits.rs
@@ -1,4 +1,4 @@
-//! What the placer may take of the fleet's load budgets.
+//! The placer's share of the fleet's load budgets.
 
 use crate::RouterState;
 use async_channel::{Receiver, Sender};
@@ -9,22 +9,22 @@
 use sequoiawing_types::{Name, Time};
 use std::sync::Arc;
 
-/// The starts and slots of the weight store that this host holds for its data
-/// centre while it leads.
+/// The load starts and slots of the weight store that this host holds for its
+/// data centre while it leads.
 pub(crate) struct StoreCredits {
     state: Arc<RouterState>,
-    /// The loads and adapter loads that run or wait.
-    wants: (u32, u32),
-    /// Whether what earlier leaders ordered was known once in this term.
-    informed: Option<u64>,
-    /// The starts that were taken and not used yet.
+    /// The model loads and adapter loads that are running or waiting.
+    demand: (u32, u32),
+    /// The term of this leader in which the orders of earlier leaders became known.
+    synced_term: Option<u64>,
+    /// The starts that were charged but not used yet.
     starts: Vec<Charge>,
-    asking: bool,
-    decided: (Sender<Decision>, Receiver<Decision>),
-    names: Names,
+    is_requesting: bool,
+    decisions: (Sender<Decision>, Receiver<Decision>),
+    names: BudgetNames,
 }
 
-struct Names {
+struct BudgetNames {
     starts: Name,
     loads: Name,
     adapters: Name,
@@ -34,12 +34,12 @@
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
         Self {
             state,
-            wants: (0, 0),
-            informed: None,
+            demand: (0, 0),
+            synced_term: None,
             starts: Vec::new(),
-            asking: false,
-            decided: async_channel::unbounded(),
-            names: Names {
+            is_requesting: false,
+            decisions: async_channel::unbounded(),
+            names: BudgetNames {
                 starts: Name::from(LOAD_STARTS),
                 loads: Name::from(LOAD_SLOTS),
                 adapters: Name::from(ADAPTER_SLOTS),
@@ -47,39 +47,39 @@
         }
     }
 
-    /// Notes what the placer could use now.
-    pub(crate) fn want(&mut self, loads: u32, adapters: u32) {
-        self.wants = (loads, adapters);
+    /// Sets the number of loads and adapter loads that the placer could run now.
+    pub(crate) fn set_demand(&mut self, loads: u32, adapters: u32) {
+        self.demand = (loads, adapters);
     }
 
-    /// Exchanges what the placer uses for what it may use.
+    /// Reports the placer's usage and returns events with its new limits.
     pub(crate) fn exchange(&mut self, now: Time, placer: &Placer) -> Vec<PlaceEvent> {
         let term = self.state.lease().map(|l| l.term);
-        if self.informed.is_some() && self.informed != term {
-            self.informed = None;
+        if self.synced_term.is_some() && self.synced_term != term {
+            self.synced_term = None;
         }
         if term.is_some() && placer.is_synced(now) {
-            self.informed = term;
+            self.synced_term = term;
         }
         let used = placer.store_usage();
-        self.settle(now, used.starts);
-        if self.informed.is_none() {
-            return self.reset(now, 0, 0);
+        self.settle_used(now, used.starts);
+        if self.synced_term.is_none() {
+            return self.release(now, 0, 0);
         }
         let others = used.other_loads;
         let running = u64::from(used.loads + others);
-        let want = u64::from(self.wants.0.max(used.loads) + others);
+        let want = u64::from(self.demand.0.max(used.loads) + others);
         let limit = self.state.use_slots(&self.names.loads, running, want);
-        let loads = less(limit, others);
+        let loads = without_others(limit, others);
         let others = used.other_adapters;
         let running = u64::from(used.adapters + others);
-        let want = u64::from(self.wants.1.max(used.adapters) + others);
+        let want = u64::from(self.demand.1.max(used.adapters) + others);
         let limit = self.state.use_slots(&self.names.adapters, running, want);
-        let adapters = less(limit, others);
-        let waiting = self.wants.0.saturating_sub(used.loads);
+        let adapters = without_others(limit, others);
+        let waiting = self.demand.0.saturating_sub(used.loads);
         let useful = waiting.min(loads.saturating_sub(used.loads));
         if used.starts > useful {
-            return self.reset(now, loads, adapters);
+            return self.release(now, loads, adapters);
         }
         let starts = self.take_starts(now, useful - used.starts);
         vec![
@@ -91,21 +91,26 @@
         ]
     }
 
-    /// Forgets the starts that were used.
-    fn settle(&mut self, now: Time, left: u32) {
+    /// Settles the charges of the starts that were used.
+    fn settle_used(&mut self, now: Time, left: u32) {
         let left = usize::try_from(left).unwrap_or(usize::MAX);
         let used = self.starts.len().saturating_sub(left);
         for charge in self.starts.drain(..used) {
-            self.state.purses.end(now, &self.names.starts, charge, 1);
+            self.state
+                .router_budgets
+                .end(now, &self.names.starts, charge, 1);
         }
     }
 
-    /// Takes back starts that are of no use now, so that they are not saved up.
-    fn reset(&mut self, now: Time, loads: u32, adapters: u32) -> Vec<PlaceEvent> {
+    /// Returns unused starts, so that they do not accumulate.
+    fn release(&mut self, now: Time, loads: u32, adapters: u32) -> Vec<PlaceEvent> {
         for charge in self.starts.drain(..) {
-            self.state.purses.end(now, &self.names.starts, charge, 0);
+            self.state
+                .router_budgets
+                .end(now, &self.names.starts, charge, 0);
         }
-        // Only what follows counts: the static shares are replaced at once.
+        // `CreditsLost` reverts to the static shares, which the events after it replace
+        // immediately.
         vec![
             PlaceEvent::CreditsLost,
             PlaceEvent::LoadCredits {
@@ -116,25 +121,25 @@
         ]
     }
 
-    /// Returns the starts that were granted since the last look, and asks for
-    /// another one when it is of use.
+    /// Returns the number of starts that were granted since the last call, and
+    /// requests another one if it can be used.
     fn take_starts(&mut self, now: Time, missing: u32) -> u32 {
         let mut taken = 0;
-        while let Ok(decision) = self.decided.1.try_recv() {
-            self.asking = false;
+        while let Ok(decision) = self.decisions.1.try_recv() {
+            self.is_requesting = false;
             if let Ok(charge) = decision {
                 self.starts.push(charge);
                 taken += 1;
             }
         }
-        if taken < missing && !self.asking {
-            self.asking = true;
+        if taken < missing && !self.is_requesting {
+            self.is_requesting = true;
             let state = self.state.clone();
             let budget = self.names.starts.clone();
-            let decided = self.decided.0.clone();
+            let decisions = self.decisions.0.clone();
             spawn(async move {
-                let decision = state.purses.take(now, &budget, 1).await;
-                decided.send(decision).await.ok();
+                let decision = state.router_budgets.take(now, &budget, 1).await;
+                decisions.send(decision).await.ok();
             })
             .detach();
         }
@@ -142,7 +147,7 @@
     }
 }
 
-fn less(limit: u64, others: u32) -> u32 {
+fn without_others(limit: u64, others: u32) -> u32 {
     let limit = u32::try_from(limit).unwrap_or(u32::MAX);
     limit.saturating_sub(others)
 }
--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -26,29 +26,29 @@
 };
 use subtle::ConstantTimeEq;
 
-/// When a caller may come back who found too many connections.
-const BUSY_RETRY: Duration = Duration::from_secs(1);
+/// The retry delay for callers that are refused because of too many connections.
+const BUSY_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The path of the health check, on the callers' listener.
+/// The path of the health check on the callers' listener.
 const HEALTH_PATH: &str = "/sequoiawing/health";
 
-/// The path by which upstreams announce themselves.
+/// The path at which upstreams announce themselves.
 const ANNOUNCE_PATH: &str = "/sequoiawing/announce";
 
-/// The path at which upstreams renew an announcement.
+/// The path at which upstreams renew their announcements.
 const RENEW_PATH: &str = "/sequoiawing/renew";
 
-/// The largest announcement, in bytes.
+/// The maximum size of an announcement, in bytes.
 const ANNOUNCEMENT_BYTES: usize = 1024 * 1024;
 
-/// How long an announcement may take to arrive.
-const ANNOUNCEMENT_LIMIT: Duration = Duration::from_secs(2);
+/// The timeout for receiving an announcement.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running router.
 pub struct Router {
     state: Arc<RouterState>,
-    /// Given first, to the callers' listener alone.
-    closing: Shutdown,
+    /// The shutdown of the callers' listener, which starts before the general one.
+    callers_shutdown: Shutdown,
     shutdown: Shutdown,
     callers: SocketAddr,
     upstreams: SocketAddr,
@@ -67,29 +67,30 @@
         Self::start_with(settings, &[]).await
     }
 
-    /// Starts a router with plugins before the standard ones.
+    /// Starts a router with additional plugins, which are added before the standard
+    /// ones.
     ///
     /// # Errors
     ///
     /// Returns the error of the operating system when an address is taken.
     pub async fn start_with(settings: RouterSettings, plugins: &[&dyn Plugin]) -> io::Result<Self> {
-        let closing = Shutdown::new();
+        let callers_shutdown = Shutdown::new();
         let shutdown = Shutdown::new();
         let link_shutdown = shutdown.clone();
         let secret = Secret::from(settings.secret.as_str());
-        let bounds = HttpSettings {
-            drain_limit: ANNOUNCEMENT_LIMIT,
+        let limits = HttpSettings {
+            drain_limit: ANNOUNCEMENT_TIMEOUT,
             ..HttpSettings::default()
         };
-        let caller_bounds = HttpSettings {
+        let caller_limits = HttpSettings {
             drain_limit: Duration::from_millis(settings.drain),
             connections: settings.connections,
             header_limit: Duration::from_millis(settings.header_wait),
             stall_limit: Duration::from_millis(settings.caller_stall),
             ..HttpSettings::default()
         };
-        let callers = HttpListener::bind(settings.callers, caller_bounds).await?;
-        let upstreams = HttpListener::bind(settings.upstreams, bounds).await?;
+        let callers = HttpListener::bind(settings.callers, caller_limits).await?;
+        let upstreams = HttpListener::bind(settings.upstreams, limits).await?;
         let link = LinkListener::bind(settings.link, secret).await?;
         let (callers_at, upstreams_at) = (callers.address()?, upstreams.address()?);
         let link_at = link.address()?;
@@ -116,13 +117,14 @@
         let service = PeerService {
             state: state.clone(),
         };
-        let callers_task = spawn(callers.serve(Arc::new(callers_handler), closing.clone()));
+        let callers_task =
+            spawn(callers.serve(Arc::new(callers_handler), callers_shutdown.clone()));
         let upstreams_task = spawn(upstreams.serve(Arc::new(upstream_handler), shutdown.clone()));
         spawn(link.serve(connection_handler!(service.serve()), link_shutdown)).detach();
         log::info!(target: "router", "Serving callers at {callers_at}.");
         Ok(Self {
             state,
-            closing,
+            callers_shutdown,
             shutdown,
             callers: callers_at,
             upstreams: upstreams_at,
@@ -132,22 +134,22 @@
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address at which callers connect.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where upstreams announce themselves.
+    /// Returns the address at which upstreams announce themselves.
     pub fn upstreams(&self) -> SocketAddr {
         self.upstreams
     }
 
-    /// Returns where other processes and operators connect.
+    /// Returns the address at which other processes and operators connect.
     pub fn link(&self) -> SocketAddr {
         self.link
     }
 
-    /// Returns what the router reports of itself.
+    /// Returns the status of the router.
     pub fn status(&self) -> RouterStatus {
         self.state.status()
     }
@@ -157,17 +159,17 @@
         &self.state
     }
 
-    /// Stops without cutting a request: fails the health check, waits for the
-    /// balancer, takes no more connections and waits for open requests.
+    /// Stops gracefully: fails the health check, waits until the load balancer has
+    /// noticed, closes the callers' listener and waits for open requests.
     ///
-    /// Everything else runs on meanwhile, so that requests which wait for a
-    /// load or a retry are served. Returns the number of requests that were
-    /// still open at the drain limit; the log names them.
+    /// Everything else keeps running meanwhile, so that requests that wait for a
+    /// load or a retry are served. Returns the number of requests that were still
+    /// open at the drain limit, which are listed in the log.
     pub async fn stop(self) -> usize {
         log::info!(target: "router", "Shutting down; the health check now fails.");
         self.state.draining.store(true, Ordering::Relaxed);
         sleep(Duration::from_millis(self.state.settings.farewell)).await;
-        self.closing.start();
+        self.callers_shutdown.start();
         let limit = Duration::from_millis(self.state.settings.drain);
         let drained = async {
             self.callers_task.await;
@@ -176,11 +178,14 @@
         timeout(limit, drained).await;
         let abandoned = self.state.open.list();
         for request in &abandoned {
-            log::warn!(target: "router", "Request {request} is abandoned.");
+            log::warn!(
+                target: "router",
+                "Request {request} is still open at the drain limit and is abandoned."
+            );
         }
         self.shutdown.start();
         self.upstreams_task.await;
-        log::info!(target: "router", "Stopped with {} requests abandoned.", abandoned.len());
+        log::info!(target: "router", "Stopped; {} requests were abandoned.", abandoned.len());
         abandoned.len()
     }
 }
@@ -198,7 +203,7 @@
             "shutting down\n"
         } else if !has_tables {
             "waiting for tables\n"
-        } else if !self.state.purses.is_ready() {
+        } else if !self.state.router_budgets.is_ready() {
             "waiting for credit\n"
         } else {
             return plain(StatusCode::OK, "serving\n");
@@ -215,18 +220,18 @@
         let mut exchange = Exchange::new(self.state.now(), request);
         let request = exchange.request.clone();
         let open = OpenRequest::new(self.state.clone(), request.clone());
-        let answered = self.chain.run(&mut exchange).await;
-        let mut answer = answered.unwrap_or_else(|refused| {
-            log::debug!(target: "router", "Request {request} was refused: {}.", refused.message);
+        let result = self.chain.run(&mut exchange).await;
+        let mut response = result.unwrap_or_else(|refused| {
+            log::debug!(target: "router", "Refused request {request}: {}.", refused.message);
             refused.into_response()
         });
-        request_id::mark(answer.headers_mut(), &request);
-        answer.map(|body| OpenBody::new(body, open).boxed_unsync())
+        request_id::mark(response.headers_mut(), &request);
+        response.map(|body| OpenBody::new(body, open).boxed_unsync())
     }
 
     fn busy_answer(&self) -> Vec<u8> {
         let refused = Refused::new(Code::Overloaded, "too many connections are open");
-        refused.with_retry(BUSY_RETRY).into_bytes()
+        refused.with_retry(BUSY_RETRY_DELAY).into_bytes()
     }
 
     fn unreadable_answer(&self, status: StatusCode) -> Vec<u8> {
@@ -246,26 +251,27 @@
 }
 
 impl UpstreamHandler {
-    fn is_authentic(&self, headers: &HeaderMap) -> bool {
-        let shown = headers
+    fn is_authenticated(&self, headers: &HeaderMap) -> bool {
+        let credential = headers
             .get(AUTHORIZATION)
             .map(hyper::http::HeaderValue::as_bytes);
-        let shown = shown.and_then(|v| v.strip_prefix(b"Bearer "));
+        let credential = credential.and_then(|v| v.strip_prefix(b"Bearer "));
         let expected = self.state.settings.credential.as_bytes();
-        shown.is_some_and(|s| s.ct_eq(expected).into())
+        credential.is_some_and(|s| s.ct_eq(expected).into())
     }
 
-    /// Reads what an upstream says, or returns why it cannot be taken.
-    async fn read<T>(&self, request: Request<Incoming>) -> Result<T, Response<Body>>
+    /// Authenticates an upstream and parses the body of its request, or returns the
+    /// error response.
+    async fn parse<T>(&self, request: Request<Incoming>) -> Result<T, Response<Body>>
     where
         T: DeserializeOwned,
     {
-        if !self.is_authentic(request.headers()) {
+        if !self.is_authenticated(request.headers()) {
             let problem = "the credential is wrong\n";
             return Err(plain(StatusCode::UNAUTHORIZED, problem));
         }
         let limited = Limited::new(request.into_body(), ANNOUNCEMENT_BYTES);
-        let collected = timeout(ANNOUNCEMENT_LIMIT, limited.collect()).await;
+        let collected = timeout(ANNOUNCEMENT_TIMEOUT, limited.collect()).await;
         let Some(Ok(body)) = collected else {
             let problem = "the announcement broke off\n";
             return Err(plain(StatusCode::BAD_REQUEST, problem));
@@ -277,21 +283,21 @@
     }
 
     async fn announce(&self, request: Request<Incoming>) -> Response<Body> {
-        match self.read(request).await {
-            Ok(state) => self.take(state),
+        match self.parse(request).await {
+            Ok(state) => self.accept(state),
             Err(refused) => refused,
         }
     }
 
     async fn renew(&self, request: Request<Incoming>) -> Response<Body> {
-        match self.read(request).await {
+        match self.parse(request).await {
             Ok(renewal) if self.state.renew(&renewal) => plain(StatusCode::OK, ""),
             Ok(_) => plain(StatusCode::CONFLICT, "announce yourself whole\n"),
             Err(refused) => refused,
         }
     }
 
-    fn take(&self, state: UpstreamState) -> Response<Body> {
+    fn accept(&self, state: UpstreamState) -> Response<Body> {
         if !state.name.is_valid() || state.address.is_none() {
             return plain(StatusCode::BAD_REQUEST, "name and address are needed\n");
         }
@@ -333,7 +339,7 @@
 
 impl Peer for PeerService {
     async fn exchange(self, _: Context, batch: UpstreamBatch) -> ExchangeReply {
-        self.state.take_batch(batch)
+        self.state.apply_batch(batch)
     }
 
     async fn lend(self, _: Context, batch: BudgetBatch) -> BudgetReplies {
@@ -346,11 +352,11 @@
     }
 
     async fn demand(self, _: Context, demands: Vec<Demand>) -> Vec<DemandStatus> {
-        let leader = self.state.placement.lock().clone();
+        let placer = self.state.placer.lock().clone();
         let mut states = Vec::new();
         for demand in demands {
-            let state = match &leader {
-                Some(leader) => leader.answer(&self.state, demand).await,
+            let state = match &placer {
+                Some(placer) => placer.handle_demand(&self.state, demand).await,
                 None => DemandStatus::default(),
             };
             states.push(state);
@@ -359,18 +365,18 @@
     }
 
     async fn cell(self, _: Context, request: CellRequest) -> Option<CellReply> {
-        self.state.cell_request(request)
+        self.state.handle_cell_request(request)
     }
 
-    async fn follow(self, _: Context, question: FollowRequest) -> FollowReply {
-        let wait = Duration::from_millis(question.wait);
-        let changed = |t: &Arc<Tables>| t.revision > question.revision;
+    async fn follow(self, _: Context, request: FollowRequest) -> FollowReply {
+        let wait = Duration::from_millis(request.wait);
+        let changed = |t: &Arc<Tables>| t.revision > request.revision;
         timeout(wait, self.state.tables.wait_until(changed)).await;
         let tables = self.state.tables.get();
         let age = self.state.tables_age().as_millis();
         FollowReply {
             revision: tables.revision,
-            update: tables.update_from(question.revision),
+            update: tables.update_from(request.revision),
             age: u64::try_from(age).unwrap_or(u64::MAX),
         }
     }
@@ -384,12 +390,12 @@
         registry.iter().map(|s| UpstreamState::clone(s)).collect()
     }
 
-    async fn explain(self, _: Context, question: ExplainRequest) -> Explanation {
-        self.state.explain(&question)
+    async fn explain(self, _: Context, request: ExplainRequest) -> Explanation {
+        self.state.explain(&request)
     }
 
     async fn drain(self, _: Context, draining: bool) -> RouterStatus {
-        log::info!(target: "router", "An operator set draining to {draining}.");
+        log::info!(target: "router", "An operator set the drain mode to {draining}.");
         self.state.draining.store(draining, Ordering::Relaxed);
         self.state.status()
     }
--- a/crates/sequoiawing_router/src/filters/forward.rs
+++ b/crates/sequoiawing_router/src/filters/forward.rs
@@ -97,10 +97,10 @@
             shard: &shard,
             deadline: exchange.latest(),
         };
-        state.note_attempt(&template.work.customer, &exchange.route.pool);
+        state.record_attempt(&template.work.customer, &exchange.route.pool);
         loop {
             let work = template.work(state.next_request(), race.deadline, tries.avoid.clone());
-            let waited = shard.wait(work).await;
+            let waited = shard.acquire(work).await;
             let assignment = waited.map_err(|(why, retry)| refuse(&why, retry, tries.ran))?;
             let failed = match race.run(assignment, tries).await {
                 Ok((answer, assignment)) => {
@@ -199,7 +199,7 @@
                 match first_ok(first.as_mut(), second).await {
                     Ok(First::Left(begun)) => Ok(begun),
                     Ok(First::Right(begun)) => {
-                        health.fail();
+                        health.mark_failed();
                         Ok(begun)
                     }
                     Err((failed, last)) => {
@@ -220,7 +220,7 @@
             Ok(answer) => Ok((answer, assignment)),
             Err(failed) => {
                 if failed.unhealthy {
-                    assignment.health().fail();
+                    assignment.health().mark_failed();
                 }
                 Err(failed.with_upstream(assignment.upstream.clone()))
             }
@@ -230,7 +230,7 @@
     /// Waits until half of the time has passed or the upstream is gone.
     async fn wait_doubtful(&self, upstream: &Name) {
         let left = self.deadline.since(self.forward.attempts.state.now());
-        sleep(left / 2).or(self.shard.wait_gone(upstream)).await;
+        sleep(left / 2).or(self.shard.wait_removed(upstream)).await;
     }
 
     fn may_hedge(&self, tries: &Tries) -> bool {
@@ -242,7 +242,7 @@
     async fn hedge(&self, slow: Name, number: u32) -> Result<Begun, Failed> {
         let id = self.forward.attempts.state.next_request();
         let work = self.template.work(id, self.deadline, vec![slow]);
-        let waited = self.shard.wait(work).await;
+        let waited = self.shard.acquire(work).await;
         let assignment = waited.map_err(|_| Failed::unsent("no other upstream was free"))?;
         self.send(assignment, number).await
     }
--- a/crates/sequoiawing_router/src/peers.rs
+++ b/crates/sequoiawing_router/src/peers.rs
@@ -5,21 +5,21 @@
 use sequoiawing_types::Name;
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
-/// Another router and the way to call it.
+/// A connection to another router.
 #[derive(Clone)]
 pub(crate) struct PeerLink {
-    /// Its host.
+    /// The host of the router.
     pub(crate) host: Name,
-    /// Its data centre.
+    /// The data centre of the router.
     pub(crate) centre: Name,
-    /// The connection.
+    /// The client stub.
     pub(crate) stub: Stub<PeerClient>,
 }
 
-/// The other routers: those that the settings name, until the tables do.
+/// The other routers, which are those in the settings until the tables list them.
 ///
-/// A router that starts while no controller is reachable finds a neighbour with
-/// the tables by its settings.
+/// With the settings, a router that starts while no controller is reachable can
+/// get the tables from another router.
 pub(crate) struct Peers {
     host: Name,
     secret: Secret,
@@ -58,14 +58,14 @@
         self.links.read().iter().find(|p| p.host == *host).cloned()
     }
 
-    /// Takes in the hosts of the tables; connections to those that stay at
-    /// their address are kept.
-    pub(crate) fn refresh(&self, tables: &Tables) {
+    /// Replaces the routers with the hosts in the tables. Connections to hosts with
+    /// an unchanged address are kept.
+    pub(crate) fn update(&self, tables: &Tables) {
         if tables.hosts.is_empty() {
             return;
         }
-        let former = self.all();
-        let known: BTreeMap<(&Name, SocketAddr), &PeerLink> = former
+        let previous = self.all();
+        let connections: BTreeMap<(&Name, SocketAddr), &PeerLink> = previous
             .iter()
             .map(|p| ((&p.host, p.stub.address()), p))
             .collect();
@@ -75,7 +75,7 @@
             PeerLink {
                 host: h.host.clone(),
                 centre: h.centre.clone(),
-                stub: known.get(&(&h.host, address)).map_or_else(
+                stub: connections.get(&(&h.host, address)).map_or_else(
                     || Stub::new(address, self.secret.clone()),
                     |p| p.stub.clone(),
                 ),
--- a/crates/sequoiawing_router/src/relay.rs
+++ b/crates/sequoiawing_router/src/relay.rs
@@ -4,7 +4,7 @@
     attempt::{Attempts, Failed, ResumePoint, Template, UpstreamAnswer},
     headers::{RAN_HEADER, remove_own_headers},
     shard::{Assignment, PoolShard},
-    state::Withdrawn,
+    state::WithdrawalFuture,
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -102,7 +102,7 @@
 /// upstream; see [docs/design/streams.md](../../../docs/design/streams.md).
 pub(crate) struct RelayedBody {
     body: HeldBody,
-    withdrawn: Option<Withdrawn>,
+    withdrawn: Option<WithdrawalFuture>,
     assignment: Option<Assignment>,
     watchdog: Watchdog,
     /// Present for streams whose end can be told from a cut.
@@ -121,7 +121,7 @@
         shard: Arc<PoolShard>,
         answer: UpstreamAnswer,
         assignment: Assignment,
-        withdrawn: Option<Withdrawn>,
+        withdrawn: Option<WithdrawalFuture>,
     ) -> Response<Body> {
         let is_stream = template.stream
             && answer.parts.status.is_success()
@@ -192,7 +192,7 @@
         if error.is_some()
             && let Some(assignment) = &self.assignment
         {
-            assignment.health().fail();
+            assignment.health().mark_failed();
         }
         error
     }
@@ -358,7 +358,7 @@
         let id = self.attempts.state.next_request();
         let avoid = failed.into_iter().collect();
         let work = self.template.work(id, self.deadline, avoid);
-        let waited = self.shard.wait(work).await;
+        let waited = self.shard.acquire(work).await;
         let assignment = waited.map_err(|_| Failed::unsent("no upstream was free to resume"))?;
         let sent = self.attempts.send(
             &self.template,
@@ -370,7 +370,7 @@
         match sent.await {
             Ok(answer) => Ok((answer, assignment)),
             Err(failed) => {
-                assignment.health().fail();
+                assignment.health().mark_failed();
                 Err(failed)
             }
         }
--- a/crates/sequoiawing_router/src/shard.rs
+++ b/crates/sequoiawing_router/src/shard.rs
@@ -18,9 +18,9 @@
     time::Duration,
 };
 
-/// What a waiting request is told.
+/// The dispatcher's decision on a waiting request.
 #[derive(Clone, Debug)]
-enum Verdict {
+enum DispatchDecision {
     Assigned(Name, u32),
     Refused(Refusal, Duration),
 }
@@ -28,16 +28,16 @@
 struct Inner {
     dispatcher: Dispatcher,
     addresses: BTreeMap<Name, SocketAddr>,
-    replies: HashMap<u64, Sender<Verdict>>,
+    replies: HashMap<u64, Sender<DispatchDecision>>,
 }
 
-/// The dispatcher of one pool under its own lock.
+/// The dispatcher of one pool, with its own lock.
 pub(crate) struct PoolShard {
     inner: Mutex<Inner>,
     pool: Name,
     demands: Sender<Demand>,
     clock: Clock,
-    gone: Event,
+    removed: Event,
 }
 
 impl PoolShard {
@@ -53,7 +53,7 @@
             pool,
             demands,
             clock,
-            gone: Event::new(),
+            removed: Event::new(),
         }
     }
 
@@ -67,7 +67,7 @@
         self.inner.lock().dispatcher.waiting()
     }
 
-    /// Takes in an announcement of an upstream of the pool.
+    /// Applies the state of an upstream of the pool.
     pub(crate) fn announce(&self, state: Arc<UpstreamState>) {
         let mut inner = self.inner.lock();
         if let Some(address) = state.address {
@@ -76,19 +76,19 @@
         self.handle(&mut inner, DispatchEvent::Announced(state));
     }
 
-    /// Forgets an upstream.
+    /// Removes an upstream.
     pub(crate) fn remove(&self, upstream: Name) {
         let mut inner = self.inner.lock();
         inner.addresses.remove(&upstream);
         self.handle(&mut inner, DispatchEvent::Gone { upstream });
         drop(inner);
-        self.gone.notify(usize::MAX);
+        self.removed.notify(usize::MAX);
     }
 
-    /// Waits until an upstream is no longer alive.
-    pub(crate) async fn wait_gone(&self, upstream: &Name) {
+    /// Waits until an upstream has been removed.
+    pub(crate) async fn wait_removed(&self, upstream: &Name) {
         loop {
-            let listener = self.gone.listen();
+            let listener = self.removed.listen();
             if !self.inner.lock().addresses.contains_key(upstream) {
                 return;
             }
@@ -96,36 +96,39 @@
         }
     }
 
-    /// Takes in any other event.
-    pub(crate) fn event(&self, event: DispatchEvent) {
+    /// Passes any other event to the dispatcher.
+    pub(crate) fn handle_event(&self, event: DispatchEvent) {
         self.handle(&mut self.inner.lock(), event);
     }
 
-    /// Waits for an upstream for the work.
+    /// Waits until the dispatcher assigns an upstream to the request.
     ///
     /// # Errors
     ///
-    /// Returns the reason and when to ask again; nothing was sent.
-    pub(crate) async fn wait(
+    /// Returns the reason of the refusal and the time after which to retry. Nothing
+    /// was sent to an upstream.
+    pub(crate) async fn acquire(
         self: &Arc<Self>,
-        work: DispatchRequest,
+        request: DispatchRequest,
     ) -> Result<Assignment, (Refusal, Duration)> {
         let (sender, receiver) = async_channel::bounded(1);
-        let id = work.id;
-        let ticket = Ticket {
+        let id = request.id;
+        let waiting = WaitingRequest {
             shard: self.clone(),
             id,
             receiver,
         };
         {
             let mut inner = self.inner.lock();
-            inner.replies.insert(work.id, sender);
-            self.handle(&mut inner, DispatchEvent::Arrived(work));
+            inner.replies.insert(request.id, sender);
+            self.handle(&mut inner, DispatchEvent::Arrived(request));
         }
-        let verdict = ticket.receiver.recv().await;
-        match verdict {
-            Ok(Verdict::Assigned(upstream, priority)) => self.assignment(id, upstream, priority),
-            Ok(Verdict::Refused(reason, retry)) => Err((reason, retry)),
+        let decision = waiting.receiver.recv().await;
+        match decision {
+            Ok(DispatchDecision::Assigned(upstream, priority)) => {
+                self.assignment(id, upstream, priority)
+            }
+            Ok(DispatchDecision::Refused(reason, retry)) => Err((reason, retry)),
             Err(_) => Err((Refusal::NoUpstream, Duration::ZERO)),
         }
     }
@@ -139,7 +142,7 @@
         let address = self.inner.lock().addresses.get(&upstream).copied();
         let Some(address) = address else {
             let healthy = true;
-            self.event(DispatchEvent::Finished { id, healthy });
+            self.handle_event(DispatchEvent::Finished { id, healthy });
             return Err((Refusal::NoUpstream, Duration::ZERO));
         };
         Ok(Assignment {
@@ -163,10 +166,10 @@
                     upstream,
                     priority,
                 } => {
-                    reply(inner, id, Verdict::Assigned(upstream, priority));
+                    send_decision(inner, id, DispatchDecision::Assigned(upstream, priority));
                 }
                 DispatchAction::Refuse { id, reason, retry } => {
-                    reply(inner, id, Verdict::Refused(reason, retry));
+                    send_decision(inner, id, DispatchDecision::Refused(reason, retry));
                 }
                 DispatchAction::SendDemand(demand) => {
                     self.demands.try_send(demand).ok();
@@ -180,21 +183,22 @@
     }
 }
 
-/// Hands a verdict to the request; its ticket settles one that is not taken.
-fn reply(inner: &mut Inner, id: u64, verdict: Verdict) {
+/// Sends a decision to the request. If it is not received, dropping the
+/// [`WaitingRequest`] releases its slot.
+fn send_decision(inner: &mut Inner, id: u64, decision: DispatchDecision) {
     if let Some(sender) = inner.replies.remove(&id) {
-        sender.try_send(verdict).ok();
+        sender.try_send(decision).ok();
     }
 }
 
-/// A waiting request; dropping it takes the request out of the queue.
-struct Ticket {
+/// A waiting request, which is removed from the queue when dropped.
+struct WaitingRequest {
     shard: Arc<PoolShard>,
     id: u64,
-    receiver: Receiver<Verdict>,
+    receiver: Receiver<DispatchDecision>,
 }
 
-impl Drop for Ticket {
+impl Drop for WaitingRequest {
     fn drop(&mut self) {
         let mut inner = self.shard.inner.lock();
         if inner.replies.remove(&self.id).is_some() {
@@ -202,7 +206,7 @@
             self.shard
                 .handle(&mut inner, DispatchEvent::Cancelled { id });
         }
-        if let Ok(Verdict::Assigned(..)) = self.receiver.try_recv() {
+        if let Ok(DispatchDecision::Assigned(..)) = self.receiver.try_recv() {
             let id = self.id;
             let healthy = true;
             let finished = DispatchEvent::Finished { id, healthy };
@@ -211,13 +215,13 @@
     }
 }
 
-/// Whether the upstream of an assignment did its part.
+/// Whether the upstream of an assignment has failed the request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health(Arc<AtomicBool>);
 
 impl Health {
-    /// Notes that the upstream failed the request.
-    pub(crate) fn fail(&self) {
+    /// Records that the upstream failed the request.
+    pub(crate) fn mark_failed(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
@@ -226,29 +230,29 @@
     }
 }
 
-/// A slot on an upstream; dropping it frees the slot.
+/// A slot on an upstream, which is released when dropped.
 pub(crate) struct Assignment {
     shard: Arc<PoolShard>,
     id: u64,
-    /// The upstream.
+    /// The name of the upstream.
     pub(crate) upstream: Name,
-    /// Where it takes requests.
+    /// The address at which the upstream accepts requests.
     pub(crate) address: SocketAddr,
     health: Health,
     priority: u32,
 }
 
-/// The header by which engines that honour priorities learn a request's: 0 is
-/// served first.
+/// The header with the priority of a request for engines that support priorities.
+/// 0 is the highest priority.
 const PRIORITY_HEADER: HeaderName = HeaderName::from_static("sequoiawing-priority");
 
 impl Assignment {
     /// Adds the request's priority to its headers.
-    pub(crate) fn mark(&self, headers: &mut HeaderMap) {
+    pub(crate) fn add_priority(&self, headers: &mut HeaderMap) {
         headers.insert(PRIORITY_HEADER, HeaderValue::from(self.priority));
     }
 
-    /// Returns the note of how the upstream did, which outlives the slot.
+    /// Returns the health record of the upstream, which outlives the slot.
     pub(crate) fn health(&self) -> Health {
         self.health.clone()
     }
@@ -258,6 +262,7 @@
     fn drop(&mut self) {
         let id = self.id;
         let healthy = self.health.is_healthy();
-        self.shard.event(DispatchEvent::Finished { id, healthy });
+        self.shard
+            .handle_event(DispatchEvent::Finished { id, healthy });
     }
 }
--- a/crates/sequoiawing_router/src/state.rs
+++ b/crates/sequoiawing_router/src/state.rs
@@ -3,12 +3,12 @@
 
 use crate::{
     Limiter, RouterSettings,
-    controllers::{CentreBudgets, LeaderDemands, Outbox},
+    controllers::{CentreBudgets, Outbox, PlacerHandle},
     key_grace::{KeyGrace, wall_micros, wall_millis},
     limiter::SharedLimiter,
     open::OpenRequests,
     peers::Peers,
-    propose::Preferred,
+    propose::PreferredController,
     retry::RetryBudget,
     shard::PoolShard,
 };
@@ -35,63 +35,65 @@
     time::Duration,
 };
 
-/// How long connecting to an upstream may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of connecting to an upstream.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The most demands that wait for the cell leader.
+/// The maximum number of demands that wait for the cell leader.
 const DEMAND_QUEUE: usize = 4_096;
 
-/// Ends when a key has been withdrawn.
-pub(crate) type Withdrawn = Pin<Box<dyn Future<Output = ()> + Send>>;
+/// A future that completes when a key is withdrawn.
+pub(crate) type WithdrawalFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// What the filters and controllers of one router share.
+/// The state that the filters and controllers of one router share.
 pub struct RouterState {
     /// The settings.
     pub settings: RouterSettings,
-    /// The tables in force; their revision never goes back.
+    /// The current tables, whose revision never decreases.
     pub tables: Watch<Arc<Tables>>,
     pub(crate) clock: Clock,
     pub(crate) client: Client,
     pub(crate) meters: Option<Arc<Meters>>,
     pub(crate) limiter: Arc<dyn Limiter>,
-    pub(crate) purses: Arc<SharedLimiter>,
-    pub(crate) budgets: CentreBudgets,
-    pub(crate) control: Vec<Stub<ControlClient>>,
-    pub(crate) preferred: Preferred,
+    pub(crate) router_budgets: Arc<SharedLimiter>,
+    pub(crate) centre_budgets: CentreBudgets,
+    pub(crate) controllers: Vec<Stub<ControlClient>>,
+    pub(crate) preferred_controller: PreferredController,
     pub(crate) peers: Peers,
     pub(crate) translations: Translations,
     pub(crate) registry: Mutex<Registry>,
     pub(crate) outbox: Mutex<Outbox>,
-    /// What the other data centres were told of this one.
+    /// The last summary of this data centre that was sent to the others.
     pub(crate) publisher: Mutex<Publisher>,
-    /// When other routers of the data centre were heard last.
-    pub(crate) heard: Mutex<BTreeMap<Name, Time>>,
-    /// Grows with each start of the process.
+    /// The time of the last batch from each other router of the data centre.
+    pub(crate) peers_heard: Mutex<BTreeMap<Name, Time>>,
+    /// The start time of the process, in microseconds, which increases with each
+    /// start.
     pub(crate) start: u64,
     pub(crate) withdrawn: Watch<Arc<BTreeSet<KeyId>>>,
-    pub(crate) grace: KeyGrace,
-    withdrawing: Mutex<()>,
+    pub(crate) key_grace: KeyGrace,
+    withdraw_lock: Mutex<()>,
     pub(crate) demands: Receiver<Demand>,
     pub(crate) draining: AtomicBool,
     pub(crate) open: OpenRequests,
     pub(crate) leader: RwLock<Option<Name>>,
     pub(crate) cell: Mutex<Cell>,
-    pub(crate) placement: Mutex<Option<LeaderDemands>>,
+    pub(crate) placer: Mutex<Option<PlacerHandle>>,
     link: OnceLock<SocketAddr>,
-    confirmed: Mutex<Option<Time>>,
+    confirmed_at: Mutex<Option<Time>>,
     shards: RwLock<BTreeMap<Name, Arc<PoolShard>>>,
     demand_sender: Sender<Demand>,
     next_request: AtomicU64,
-    retries: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
 }
 
 impl RouterState {
     pub(crate) fn new(settings: RouterSettings) -> Self {
         let secret = Secret::from(settings.secret.as_str());
-        let control = settings.controllers.iter();
+        let controllers = settings.controllers.iter();
         let translations = Translations::new(&settings.translations);
-        let control = control.map(|a| Stub::new(translations.translate(*a), secret.clone()));
-        let control = control.collect();
+        let controllers =
+            controllers.map(|a| Stub::new(translations.translate(*a), secret.clone()));
+        let controllers = controllers.collect();
         let peers = Peers::new(
             settings.host.clone(),
             secret,
@@ -105,42 +107,42 @@
             wall_millis(),
         );
         let meters = Meters::new("sequoiawing-router", &settings.host, &settings.centre);
-        let purses = Arc::new(SharedLimiter::new(wall_millis()));
+        let router_budgets = Arc::new(SharedLimiter::new(wall_millis()));
         let publisher = Publisher::new(settings.centre.clone());
         let (demand_sender, demands) = async_channel::bounded(DEMAND_QUEUE);
         Self {
             settings,
             tables: Watch::new(Arc::default()),
             clock: Clock::start(),
-            client: Client::new(CONNECT_LIMIT),
+            client: Client::new(CONNECT_TIMEOUT),
             meters: meters.ok().map(Arc::new),
-            limiter: purses.clone(),
-            purses,
-            budgets: CentreBudgets::default(),
-            control,
-            preferred: Preferred::default(),
+            limiter: router_budgets.clone(),
+            router_budgets,
+            centre_budgets: CentreBudgets::default(),
+            controllers,
+            preferred_controller: PreferredController::default(),
             peers,
             translations,
             registry: Mutex::default(),
             outbox: Mutex::default(),
             publisher: Mutex::new(publisher),
-            heard: Mutex::default(),
+            peers_heard: Mutex::default(),
             start: wall_micros(),
             withdrawn: Watch::new(Arc::default()),
-            grace: KeyGrace::default(),
-            withdrawing: Mutex::new(()),
+            key_grace: KeyGrace::default(),
+            withdraw_lock: Mutex::new(()),
             demands,
             draining: AtomicBool::new(false),
             open: OpenRequests::default(),
             leader: RwLock::new(None),
             cell: Mutex::new(cell),
-            placement: Mutex::new(None),
+            placer: Mutex::new(None),
             link: OnceLock::new(),
-            confirmed: Mutex::new(None),
+            confirmed_at: Mutex::new(None),
             shards: RwLock::default(),
             demand_sender,
             next_request: AtomicU64::new(1),
-            retries: Mutex::default(),
+            retry_budget: Mutex::default(),
         }
     }
 
@@ -149,82 +151,85 @@
         Time::ZERO + self.clock.elapsed()
     }
 
-    /// Notes that a customer's request is sent to a pool for the first time.
-    pub(crate) fn note_attempt(&self, customer: &Name, pool: &Name) {
-        let mut retries = self.retries.lock();
+    /// Records the first attempt of a customer's request in a pool.
+    pub(crate) fn record_attempt(&self, customer: &Name, pool: &Name) {
+        let mut retries = self.retry_budget.lock();
         retries.note_attempt(self.now(), customer, pool);
     }
 
-    /// Takes one retry out of the customer's budget for the pool.
+    /// Takes one retry from the customer's retry budget for the pool, and returns
+    /// whether it was available.
     pub(crate) fn take_retry(&self, customer: &Name, pool: &Name) -> bool {
-        let mut retries = self.retries.lock();
+        let mut retries = self.retry_budget.lock();
         retries.take_retry(self.now(), customer, pool)
     }
 
-    /// Reports whether keys are honoured though they may have been withdrawn
-    /// where this router cannot hear it.
+    /// Returns whether the tables were confirmed recently enough for keys to be
+    /// accepted, since later withdrawals may not have reached this router.
     pub(crate) fn confirms_keys(&self) -> bool {
         let grace = Duration::from_secs(self.settings.key_grace);
-        self.grace.holds(wall_millis(), grace)
+        self.key_grace.holds(wall_millis(), grace)
     }
 
-    /// Waits until a key is withdrawn.
-    pub(crate) fn wait_withdrawn(&self, key: KeyId) -> Withdrawn {
+    /// Returns a future that completes when a key is withdrawn.
+    pub(crate) fn wait_withdrawn(&self, key: KeyId) -> WithdrawalFuture {
         let keys = self.withdrawn.clone();
         Box::pin(async move {
             keys.wait_until(|withdrawn| withdrawn.contains(&key)).await;
         })
     }
 
-    /// Draws the identifier of a request.
+    /// Returns a new request identifier.
     pub fn next_request(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Puts tables in force, unless newer ones are.
+    /// Applies tables unless the current ones are at least as new, and returns
+    /// whether they were applied.
     pub(crate) fn apply_tables(&self, tables: Arc<Tables>) -> bool {
         if tables.revision <= self.tables.get().revision {
             return false;
         }
-        self.share_withdrawn(&tables);
-        log::info!(target: "router", "Tables {} are in force.", tables.revision);
-        self.peers.refresh(&tables);
+        self.apply_withdrawals(&tables);
+        log::info!(target: "router", "Applied tables of revision {}.", tables.revision);
+        self.peers.update(&tables);
         self.tables.set(tables);
         true
     }
 
-    /// Notes that a source had nothing newer than `revision`, `age` before it
-    /// answered, which it did `since` ago at most.
+    /// Records that `revision` was the newest one `age` before a source replied,
+    /// which was at most `delay` ago.
     ///
-    /// Two routers that are cut off together and ask each other must not make
-    /// each other's tables younger.
-    pub(crate) fn confirm_tables(&self, revision: Revision, age: Duration, since: Duration) {
+    /// The age keeps two disconnected routers that poll each other from renewing
+    /// each other's tables.
+    pub(crate) fn confirm_tables(&self, revision: Revision, age: Duration, delay: Duration) {
         if revision < self.tables.get().revision {
             return;
         }
-        let age = age + since;
+        let age = age + delay;
         let at = Time::ZERO + self.clock.elapsed().saturating_sub(age);
         let millis = u64::try_from(age.as_millis() + 1).unwrap_or(u64::MAX);
-        self.grace.confirm(wall_millis().saturating_sub(millis));
-        let mut confirmed = self.confirmed.lock();
+        self.key_grace.confirm(wall_millis().saturating_sub(millis));
+        let mut confirmed = self.confirmed_at.lock();
         *confirmed = Some(confirmed.map_or(at, |known| known.max(at)));
     }
 
-    /// Returns how long ago the tables were last known to be the newest.
+    /// Returns the time since the tables were last known to be the newest.
     pub(crate) fn tables_age(&self) -> Duration {
-        let confirmed = self.confirmed.lock().unwrap_or(Time::ZERO);
+        let confirmed = self.confirmed_at.lock().unwrap_or(Time::ZERO);
         self.now().since(confirmed)
     }
 
-    /// Returns the lease by which this host leads its data centre, if it does.
+    /// Returns the lease with which this host leads its data centre, if any.
     ///
-    /// Ask immediately before each order, since a process that was stopped
-    /// finds out here that it does not lead any more.
+    /// Check it immediately before each order, since the lease may have expired
+    /// while the process was suspended.
     pub(crate) fn lease(&self) -> Option<Lease> {
         self.cell.lock().lease(self.now())
     }
 
-    /// Returns where other processes reach this router, once it listens.
+    /// Returns the address at which other processes reach this router, once it
+    /// listens.
     pub(crate) fn link(&self) -> Option<SocketAddr> {
         self.link.get().copied()
     }
@@ -233,53 +238,57 @@
         self.link.set(address).ok();
     }
 
-    /// Takes keys out of force for good and returns how many are.
+    /// Withdraws keys permanently and returns the number of withdrawn keys.
     pub(crate) fn withdraw_keys<I>(&self, keys: I) -> usize
     where
         I: Iterator<Item = KeyId>,
     {
-        let _guard = self.withdrawing.lock();
+        let _guard = self.withdraw_lock.lock();
         let known = self.withdrawn.get();
-        let fresh: Vec<KeyId> = keys.filter(|k| !known.contains(k)).collect();
-        if fresh.is_empty() {
+        let added: Vec<KeyId> = keys.filter(|k| !known.contains(k)).collect();
+        if added.is_empty() {
             return known.len();
         }
         let mut all = BTreeSet::clone(&known);
-        all.extend(fresh);
+        all.extend(added);
         let count = all.len();
         self.withdrawn.set(Arc::new(all));
         count
     }
 
-    /// Takes the keys out of force that the tables name, and keeps them once
-    /// when no others are known.
-    fn share_withdrawn(&self, tables: &Tables) {
-        let named = tables.withdrawn.to_arc();
+    /// Withdraws the keys that the tables list as withdrawn. The set is shared with
+    /// the tables if no other withdrawals are known.
+    fn apply_withdrawals(&self, tables: &Tables) {
+        let listed = tables.withdrawn.to_arc();
         {
-            let _guard = self.withdrawing.lock();
+            let _guard = self.withdraw_lock.lock();
             let known = self.withdrawn.get();
-            if Arc::ptr_eq(&known, &named) {
+            if Arc::ptr_eq(&known, &listed) {
                 return;
             }
-            if known.is_subset(&named) {
-                self.withdrawn.set(named);
+            if known.is_subset(&listed) {
+                self.withdrawn.set(listed);
                 return;
             }
         }
-        self.withdraw_keys(named.iter().cloned());
+        self.withdraw_keys(listed.iter().cloned());
     }
 
-    /// Forgets the upstreams whose announcement has run out.
-    pub(crate) fn expire(&self) {
+    /// Removes the upstreams whose announcements have expired, and drives the timers
+    /// of the dispatchers.
+    pub(crate) fn expire_upstreams(&self) {
         let expired = self.registry.lock().expire(self.now());
         for state in expired {
             let upstream = &state.name;
-            log::warn!(target: "router", "Upstream {upstream} stopped announcing itself.");
-            self.forget(upstream);
-            self.outbox.lock().lose(upstream);
+            log::warn!(
+                target: "router",
+                "Removing upstream {upstream}, whose announcement has expired."
+            );
+            self.remove_upstream(upstream);
+            self.outbox.lock().remove_upstream(upstream);
         }
         for shard in self.all_shards() {
-            shard.event(DispatchEvent::Tick);
+            shard.handle_event(DispatchEvent::Tick);
         }
     }
 
@@ -288,7 +297,7 @@
         self.shards.read().values().cloned().collect()
     }
 
-    /// Returns the shard of a pool.
+    /// Returns the shard of a pool, which is created on first use.
     pub(crate) fn shard(&self, pool: &Name) -> Arc<PoolShard> {
         if let Some(shard) = self.shards.read().get(pool) {
             return shard.clone();
@@ -311,16 +320,16 @@
         shards.entry(pool.clone()).or_insert_with(make).clone()
     }
 
-    /// Returns the number of waiting requests.
+    /// Returns the number of waiting requests in all pools.
     pub(crate) fn waiting(&self) -> usize {
         self.shards.read().values().map(|s| s.waiting()).sum()
     }
 
-    /// Returns what the router reports of itself.
+    /// Returns the status of the router.
     ///
-    /// Each lock is released before the next is taken: guards in the fields of
-    /// one expression would all be held to its end, against the order in which
-    /// the cell takes them.
+    /// Each lock is released before the next one is taken. Guards within one
+    /// expression would all be held to its end, which violates the order in which
+    /// the cell takes its locks.
     pub fn status(&self) -> RouterStatus {
         let leader = self.leader.read().clone();
         let term = self.cell.lock().term();
@@ -338,7 +347,7 @@
         }
     }
 
-    /// Returns the whole state as JSON, without secrets.
+    /// Returns the full state as JSON, without secrets.
     pub(crate) fn dump(&self) -> String {
         let upstreams: Vec<Arc<UpstreamState>> = self.registry.lock().iter().cloned().collect();
         let mut tables = self.tables.get().published();
--- a/crates/sequoiawing_router/src/state/tests.rs
+++ b/crates/sequoiawing_router/src/state/tests.rs
@@ -3,11 +3,11 @@
 use sequoiawing_tables::KeyId;
 use std::{sync::Arc, thread};
 
-/// The keys that each thread withdraws.
+/// The number of keys that each thread withdraws.
 const KEYS: usize = 200;
 
 #[test]
-fn withdrawals_that_meet_are_all_kept() {
+fn concurrent_withdrawals_are_all_kept() {
     let state = Arc::new(RouterState::new(RouterSettings::default()));
     let threads: Vec<_> = (0..4)
         .map(|thread| {
@@ -21,7 +21,7 @@
         })
         .collect();
     for thread in threads {
-        thread.join().expect("it does not panic");
+        thread.join().expect("the thread must not panic");
     }
     assert_eq!(state.withdrawn.get().len(), 4 * KEYS);
 }
