--- a/crates/sequoiawing_router/src/settings.rs
+++ b/crates/sequoiawing_router/src/settings.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, path::PathBuf};
 
-/// Another router that this one exchanges upstream states with.
+/// Another router with which this router exchanges upstream states.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct PeerSettings {
-    /// Its host.
+    /// The host name of the router.
     pub host: Name,
-    /// Its data centre.
+    /// The data centre of the router.
     pub centre: Name,
-    /// Where it takes the calls of other processes.
+    /// The address at which it listens for other processes.
     pub address: SocketAddr,
 }
 
@@ -23,63 +23,65 @@
     pub host: Name,
     /// The data centre of this host.
     pub centre: Name,
-    /// Where callers connect.
+    /// The listen address for callers.
     pub callers: SocketAddr,
-    /// Where upstreams announce themselves.
+    /// The listen address for announcements of upstreams.
     pub upstreams: SocketAddr,
-    /// Where other processes and operators connect.
+    /// The listen address for other processes and operators.
     pub link: SocketAddr,
-    /// The secret that all processes of the deployment share.
+    /// The shared secret of all processes of the deployment.
     pub secret: String,
-    /// The credential that upstreams show when they announce themselves, and
-    /// that orders to them carry.
+    /// The credential that upstreams send with their announcements and the router
+    /// sends with its orders.
     pub credential: String,
-    /// The controllers.
+    /// The addresses of the controllers.
     pub controllers: Vec<SocketAddr>,
-    /// The other routers.
+    /// The other routers to connect to until the tables list the routers.
     pub peers: Vec<PeerSettings>,
-    /// The addresses of controllers, routers and upstreams that this host
-    /// reaches under others, as behind address translation between data
-    /// centres.
+    /// The addresses of controllers, routers and upstreams that this host reaches
+    /// under a different address, for example because of address translation
+    /// between data centres.
     pub translations: Vec<Translation>,
-    /// The folder for the last tables in force; without one, a restart needs a
-    /// controller or another router.
+    /// The folder for the last applied tables; if unset, a restarted router needs a
+    /// controller or another router to get them.
     pub data: Option<PathBuf>,
-    /// The most connections of callers at once.
+    /// The maximum number of concurrent connections from callers.
     pub connections: usize,
-    /// How long the headers of a request may take to arrive, in milliseconds.
+    /// The timeout for receiving the headers of a request, in milliseconds.
     pub header_wait: u64,
-    /// How long a caller may take nothing of its answer, in milliseconds.
+    /// How long a caller may read nothing of its response before the connection is
+    /// closed, in milliseconds.
     pub caller_stall: u64,
-    /// Where metrics are scraped, on an internal address; nowhere when none is
-    /// given.
+    /// The internal listen address for scraping metrics; metrics are disabled if
+    /// unset.
     pub metrics: Option<SocketAddr>,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body: usize,
-    /// How long a body may take to arrive, in milliseconds.
+    /// The timeout for receiving a request body, in milliseconds.
     pub upload: u64,
-    /// How long an upstream may send nothing in the middle of an answer before
-    /// it is taken for dead, in milliseconds.
+    /// How long an upstream may send nothing in the middle of a response before it
+    /// is considered dead, in milliseconds.
     pub stall: u64,
-    /// How long the outcome of a claimed call is kept for resends, in seconds.
+    /// How long the outcome of a claimed request is kept for retries by the caller,
+    /// in seconds.
     pub retention: u64,
-    /// How long keys are honoured while no controller can be reached, in
-    /// seconds; 0 is for ever.
+    /// How long keys are accepted while no controller is reachable, in seconds; 0
+    /// means without limit.
     ///
-    /// A longer time serves a data centre that is cut off for longer; a shorter
-    /// one limits how long a key works there that was withdrawn elsewhere and
-    /// whose withdrawal `sequoiactl` could not bring.
+    /// A longer time keeps a disconnected data centre in service for longer; a
+    /// shorter one limits how long a key is accepted there after it was withdrawn
+    /// elsewhere and `sequoiactl` could not deliver the withdrawal.
     pub key_grace: u64,
-    /// How long a member of the data centre's cell may be gone before the
+    /// How long a member of the data centre's cell may be unreachable before the
     /// leader retires it, in milliseconds.
     pub retire: u64,
-    /// The most requests that wait in one pool.
+    /// The maximum number of requests that wait in one pool.
     pub queue: usize,
-    /// How long after the health check fails the listeners close, in
-    /// milliseconds, so that the platform's balancer notices first.
+    /// How long the router accepts connections after shutdown has begun and the
+    /// health check fails, in milliseconds, so that the platform's load balancer
+    /// notices first.
     pub farewell: u64,
-    /// How long open requests may last once the listeners are closed, in
-    /// milliseconds.
+    /// How long open requests may take to finish after that, in milliseconds.
     pub drain: u64,
 }
 
@@ -130,14 +132,14 @@
         if self.connections == 0 {
             findings.push("connections", "must be at least 1");
         }
-        let waits = [
+        let durations = [
             ("header_wait", self.header_wait),
             ("caller_stall", self.caller_stall),
             ("upload", self.upload),
             ("stall", self.stall),
         ];
-        for (place, wait) in waits {
-            if wait == 0 {
+        for (place, duration) in durations {
+            if duration == 0 {
                 findings.push(place, "must be at least 1 ms");
             }
         }
