--- a/crates/sequoiawing_router/src/lib.rs
+++ b/crates/sequoiawing_router/src/lib.rs
@@ -1,8 +1,8 @@
 //! The filter chain between callers and upstreams.
 //!
-//! A request passes the [`Filter`]s of a [`Chain`] in order; [`Controller`]s
-//! keep the state that the filters read. Both are joined by [`Plugin`]s, so
-//! that a deployment can add its own. See
+//! A request passes the [`Filter`]s of a [`Chain`] in order. [`Controller`]s
+//! maintain the state that the filters read. [`Plugin`]s add both, so that a
+//! deployment can extend the router. See
 //! [docs/ARCHITECTURE.md](../../../docs/ARCHITECTURE.md).
 
 mod attempt;
@@ -42,7 +42,7 @@
 pub use settings::{PeerSettings, RouterSettings};
 pub use state::RouterState;
 
-/// The types that embedders import most.
+/// The most commonly imported types.
 pub mod prelude {
     pub use crate::{Filter, Next, Plugin, Router, RouterBuilder, RouterSettings};
 }
--- a/crates/sequoiawing_router/src/plugin.rs
+++ b/crates/sequoiawing_router/src/plugin.rs
@@ -1,7 +1,7 @@
 use crate::{Chain, Controller, Filter, RouterState};
 use std::sync::Arc;
 
-/// Joins filters and controllers to a router.
+/// Adds filters and controllers to a router.
 pub trait Plugin {
     /// Adds the plugin's filters and controllers.
     fn build(&self, router: &mut RouterBuilder);
@@ -42,7 +42,7 @@
         self
     }
 
-    /// Adds a filter behind those already there.
+    /// Appends a filter to the chain.
     pub fn add_filter<F>(&mut self, filter: F) -> &mut Self
     where
         F: Filter + 'static,
@@ -51,8 +51,8 @@
         self
     }
 
-    /// Adds a filter in front of the one of that name, also when that one is
-    /// joined later; without such a filter it stands at the end.
+    /// Inserts a filter before the filter with the given name, which may be added
+    /// later. If there is no such filter, it is appended to the chain.
     pub fn add_filter_before<F>(&mut self, name: &'static str, filter: F) -> &mut Self
     where
         F: Filter + 'static,
@@ -61,7 +61,7 @@
         self
     }
 
-    /// Returns the chain with all filters in their places.
+    /// Takes the chain with all insertions applied.
     pub(crate) fn take_chain(&mut self) -> Chain {
         let mut chain = std::mem::take(&mut self.chain);
         for (name, filter) in self.insertions.drain(..) {
