--- a/crates/sequoiawing_router/src/saved_tables.rs
+++ b/crates/sequoiawing_router/src/saved_tables.rs
@@ -122,7 +122,7 @@
         let ignored = rest.len();
         log::warn!(
             target: "follow",
-            "Ignoring {ignored} bytes of an incomplete or corrupt record at the end of the log."
+            "Ignoring the last {ignored} bytes of the change log, which are incomplete or corrupt."
         );
     }
     let size = changes.len() - rest.len();
