--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -185,7 +185,7 @@
         }
         self.shutdown.start();
         self.upstreams_task.await;
-        log::info!(target: "router", "Stopped; {} requests were abandoned.", abandoned.len());
+        log::info!(target: "router", "Stopped with {} requests abandoned.", abandoned.len());
         abandoned.len()
     }
 }
