--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -78,11 +78,11 @@
         let shutdown = Shutdown::new();
         let link_shutdown = shutdown.clone();
         let secret = Secret::from(settings.secret.as_str());
-        let bounds = HttpSettings {
-            drain_timeout: ANNOUNCEMENT_LIMIT,
+        let limits = HttpSettings {
+            drain_timeout: ANNOUNCEMENT_TIMEOUT,
             ..HttpSettings::default()
         };
-        let caller_bounds = HttpSettings {
+        let caller_limits = HttpSettings {
             drain_timeout: Duration::from_millis(settings.drain),
             max_connections: settings.connections,
             header_timeout: Duration::from_millis(settings.header_wait),
