--- a/tools/capacity/src/lib.rs
+++ b/tools/capacity/src/lib.rs
@@ -1,24 +1,24 @@
-//! Measures slopes and works out [docs/CAPACITY.md](../../../docs/CAPACITY.md)
-//! from them.
+//! Measures unit costs and computes the tables of
+//! [docs/CAPACITY.md](../../../docs/CAPACITY.md) from them.
 //!
-//! [`Size`] is the size to design for, [`Slopes`] is what one more entry,
-//! message or event costs as measured on this machine, and [`sums`] multiplies
-//! the two for each role.
+//! [`CapacityInputs`] describes the deployment to design for. [`Slopes`] holds the
+//! cost of one more entry, message or event, measured on this machine.
+//! [`role_costs`] combines the two into the cost of each role.
 
+mod cost;
 mod heap;
-mod machines;
+mod inputs;
 mod messages;
 mod page;
 mod roles;
 mod samples;
-mod size;
 mod slopes;
-mod speed;
-mod sum;
+mod state_machines;
+mod timer;
 mod times;
 
-pub use page::{inputs, insert, render};
-pub use roles::sums;
-pub use size::Size;
+pub use cost::{Cost, MechanismCost, RoleCost};
+pub use inputs::CapacityInputs;
+pub use page::{input_table, render, replace_section};
+pub use roles::role_costs;
 pub use slopes::Slopes;
-pub use sum::{Load, Share, Sum};
--- a/tools/capacity/src/messages.rs
+++ b/tools/capacity/src/messages.rs
@@ -1,24 +1,24 @@
-//! Measures messages as encoded on the link.
+//! Measures the encoded size of messages.
 
 use crate::{
-    Size,
-    heap::float,
+    CapacityInputs,
+    heap::to_f64,
     samples,
-    slopes::{MessageSlopes, entries, holding},
+    slopes::{MessageSlopes, runner_contents, table_sizes},
 };
 use sequoiawing_link::{ExchangeReply, FollowReply, Format};
 use sequoiawing_tables::{Revision, Update};
 use serde::Serialize;
 
-/// The bytes of the length that stands before each message between processes.
-const FRAME_HEAD: f64 = 4.0;
+/// Bytes of the length prefix of each message between processes.
+const FRAME_HEADER_BYTES: f64 = 4.0;
 
-/// The bytes before each saved change: its length and checksum.
-const SAVED_HEAD: f64 = 8.0;
+/// Bytes of the header of each saved change: its length and checksum.
+const RECORD_HEADER_BYTES: f64 = 8.0;
 
-/// An envelope as `tarpc` sends it around each call.
+/// The envelope that `tarpc` adds to each call.
 #[derive(Serialize)]
-enum Call<T> {
+enum CallEnvelope<T> {
     Announce(T),
 }
 
@@ -26,14 +26,14 @@
 where
     T: Serialize,
 {
-    float(serde_json::to_vec(value).map_or(0, |v| v.len()))
+    to_f64(serde_json::to_vec(value).map_or(0, |v| v.len()))
 }
 
-fn call<T>(value: T) -> tarpc::ClientMessage<Call<T>> {
+fn call<T>(value: T) -> tarpc::ClientMessage<CallEnvelope<T>> {
     tarpc::ClientMessage::Request(tarpc::Request {
         context: tarpc::context::current(),
         id: 123_456,
-        message: Call::Announce(value),
+        message: CallEnvelope::Announce(value),
     })
 }
 
@@ -48,25 +48,26 @@
 where
     T: Serialize,
 {
-    link_bytes(&call(value)) + FRAME_HEAD
+    link_bytes(&call(value)) + FRAME_HEADER_BYTES
 }
 
 fn reply_bytes<T>(value: T) -> f64
 where
     T: Serialize,
 {
-    link_bytes(&reply(value)) + FRAME_HEAD
+    link_bytes(&reply(value)) + FRAME_HEADER_BYTES
 }
 
-/// Returns the bytes of a value on the link between processes of one release.
+/// Returns the encoded bytes of a value sent between processes of the same
+/// release.
 fn link_bytes<T>(value: &T) -> f64
 where
     T: Serialize,
 {
-    float(Format::Binary.encode(value).map_or(0, |v| v.len()))
+    to_f64(Format::Binary.encode(value).map_or(0, |v| v.len()))
 }
 
-fn published(update: Update) -> FollowReply {
+fn follow_reply(update: Update) -> FollowReply {
     FollowReply {
         revision: Revision(8_001),
         update: Some(update),
@@ -74,49 +75,54 @@
     }
 }
 
-pub(crate) fn measure_messages(size: &Size) -> MessageSlopes {
-    let tables = Box::new(samples::tables(entries(size)));
-    let (request, answer) = samples::lease();
+pub(crate) fn measure_messages(inputs: &CapacityInputs) -> MessageSlopes {
+    let tables = Box::new(samples::tables(table_sizes(inputs)));
+    let (request, reply) = samples::lease();
     MessageSlopes {
         envelope: call_bytes(()),
-        reply: reply_bytes(()),
-        relayed: link_bytes(&samples::relayed(holding(size))),
-        post: posted(
+        empty_reply: reply_bytes(()),
+        relayed_state: link_bytes(&samples::relayed_state(runner_contents(inputs))),
+        announcement: posted_bytes(
             "announce",
-            &samples::announcement(1_234, 123_456, holding(size)),
+            &samples::announcement(1_234, 123_456, runner_contents(inputs)),
         ),
-        renewal: posted("renew", &samples::renewal(1_234, holding(size))),
+        renewal: posted_bytes("renew", &samples::renewal(1_234, runner_contents(inputs))),
         demand: call_bytes(vec![samples::demand()]),
-        order: posted("orders", &samples::order()),
-        tables: reply_bytes(published(Update::Full(tables))),
+        order: posted_bytes("orders", &samples::order()),
+        tables: reply_bytes(follow_reply(Update::Full(tables))),
         edit: call_bytes(samples::edit(1, None)),
-        update: reply_bytes(published(samples::update(Revision(8_000), 1))) - reply_bytes(()),
-        saved: json_bytes(&samples::update(Revision(8_000), 1)) + SAVED_HEAD,
-        load: link_bytes(&samples::load(1_234, 123_456, holding(size))),
+        update: reply_bytes(follow_reply(samples::update(Revision(8_000), 1))) - reply_bytes(()),
+        saved_update: json_bytes(&samples::update(Revision(8_000), 1)) + RECORD_HEADER_BYTES,
+        load_delta: link_bytes(&samples::load_delta(
+            1_234,
+            123_456,
+            runner_contents(inputs),
+        )),
         heartbeat: call_bytes(samples::append(&[]))
             + call_bytes(samples::append_reply())
             + 2.0 * reply_bytes(()),
-        entry: call_bytes(samples::append(&[samples::claim(1)])) - call_bytes(samples::append(&[])),
-        lease: call_bytes(request) + reply_bytes(Some(answer)),
+        log_entry: call_bytes(samples::append(&[samples::claim(1)]))
+            - call_bytes(samples::append(&[])),
+        lease: call_bytes(request) + reply_bytes(Some(reply)),
         claim: call_bytes(samples::claim(1)),
         settle: call_bytes(samples::settle(1)),
-        batch: call_bytes(samples::batch()) + reply_bytes(ExchangeReply::default()),
-        moved: link_bytes(&samples::moved_summary()),
+        empty_batch: call_bytes(samples::empty_batch()) + reply_bytes(ExchangeReply::default()),
+        summary_move: link_bytes(&samples::moved_summary()),
         confirmation: link_bytes(&samples::moved_summary().confirmation()),
     }
 }
 
-/// Returns the bytes of what an upstream posts, with the answer.
-fn posted<T>(path: &str, body: &T) -> f64
+/// Returns the bytes of a request posted by an upstream and of its response.
+fn posted_bytes<T>(path: &str, body: &T) -> f64
 where
     T: Serialize,
 {
     let body = json_bytes(body);
-    body + float(post_head(path, body).len())
+    body + to_f64(http_head(path, body).len())
 }
 
-/// Writes the head of what an upstream posts, and of the answer.
-fn post_head(path: &str, body: f64) -> String {
+/// Returns the head of a request posted by an upstream, followed by its response.
+fn http_head(path: &str, body: f64) -> String {
     format!(
         "POST /sequoiawing/{path} HTTP/1.1\r\nhost: 10.20.30.40:8000\r\n\
          authorization: Bearer {}\r\ncontent-length: {body}\r\n\r\n\
--- a/tools/capacity/src/page.rs
+++ b/tools/capacity/src/page.rs
@@ -1,15 +1,15 @@
-//! Writes the tables of the page between its markers.
+//! Renders the tables of the page and inserts them between its markers.
 
 use crate::{
-    Load, Size, Slopes, Sum,
-    size::Input,
+    CapacityInputs, Cost, RoleCost, Slopes,
+    inputs::InputRow,
     slopes::{MessageSlopes, TimeSlopes},
 };
 use std::fmt::Write;
 
 /// Returns the page with the text between the markers of `section` replaced,
-/// or `None` when the page does not have them.
-pub fn insert(page: &str, section: &str, text: &str) -> Option<String> {
+/// or `None` if the page lacks these markers.
+pub fn replace_section(page: &str, section: &str, text: &str) -> Option<String> {
     let (begin, end) = markers(section);
     let (head, rest) = page.split_once(&begin)?;
     let (_, tail) = rest.split_once(&end)?;
@@ -23,34 +23,38 @@
 }
 
 /// Returns the table of the fixed inputs.
-pub fn inputs(size: &Size) -> String {
+pub fn input_table(inputs: &CapacityInputs) -> String {
     let mut text = String::from("| input | value | from |\n|---|---:|---|\n");
-    for Input {
+    for InputRow {
         name,
         value,
         unit,
         origin,
-    } in size.inputs()
+    } in inputs.rows()
     {
-        let value = plain(value);
+        let value = format_number(value);
         let origin = origin.as_str();
-        row(&mut text, &[name, format!("{value} {unit}").trim(), origin]);
+        push_row(&mut text, &[name, format!("{value} {unit}").trim(), origin]);
     }
     text
 }
 
-/// Returns all measured sections of the page with their names.
-pub fn render(size: &Size, slopes: &Slopes, sums: &[Sum]) -> Vec<(&'static str, String)> {
+/// Returns the names and texts of all measured sections of the page.
+pub fn render(
+    inputs: &CapacityInputs,
+    slopes: &Slopes,
+    roles: &[RoleCost],
+) -> Vec<(&'static str, String)> {
     vec![
         ("slopes", slope_tables(slopes)),
-        ("summary", summary(size, sums)),
-        ("built", role_tables(sums, true)),
-        ("planned", role_tables(sums, false)),
-        ("spread", spread(size, slopes)),
+        ("summary", summary_table(inputs, roles)),
+        ("built", role_tables(roles, true)),
+        ("planned", role_tables(roles, false)),
+        ("spread", propagation_table(inputs, slopes)),
     ]
 }
 
-fn row(text: &mut String, cells: &[&str]) {
+fn push_row(text: &mut String, cells: &[&str]) {
     writeln!(text, "| {} |", cells.join(" | ")).ok();
 }
 
@@ -67,38 +71,38 @@
     let heap = [
         ("customer", h.customer),
         ("granted key", h.key),
-        ("withdrawn key", h.withdrawn),
+        ("withdrawn key", h.withdrawn_key),
         ("route", h.route),
         ("adapter name in a pool", h.adapter),
         ("upstream in the registry", h.upstream),
         (
             "upstream in the registry, a dispatcher and the placer",
-            h.known,
+            h.local_upstream,
         ),
-        ("the same, of another data centre", h.far),
-        ("waiting request", h.waiting),
+        ("the same, of another data centre", h.remote_upstream),
+        ("waiting request", h.queued_request),
         ("kept claim", h.claim),
-        ("kept outcome of an edit", h.edit),
+        ("kept outcome of an edit", h.edit_outcome),
         (
             "granted key in the log's state, with its edit's outcome",
-            h.granted,
+            h.granted_key,
         ),
         (
             "route in the log's state, with its edit's outcome",
-            h.routed,
+            h.added_route,
         ),
         ("the tables at this size, whole", h.tables),
-        ("a copy of them that differs in one route", h.copy),
-        ("the same of their pools", h.pools),
+        ("a copy of them that differs in one route", h.table_copy),
+        ("the same of their pools", h.pools_copy),
     ];
     for (name, bytes) in heap {
-        row(&mut text, &[name, &plain(bytes.round())]);
+        push_row(&mut text, &[name, &format_number(bytes.round())]);
     }
-    row(
+    push_row(
         &mut text,
         &[
             "resident memory of an idle router process",
-            &plain(slopes.process),
+            &format_number(slopes.process_memory),
         ],
     );
     text
@@ -108,37 +112,40 @@
     text.push_str("\n| message on the link | bytes |\n|---|---:|\n");
     let messages = [
         ("envelope of a call", m.envelope),
-        ("empty answer", m.reply),
-        ("announcement, relayed", m.relayed),
+        ("empty answer", m.empty_reply),
+        ("announcement, relayed", m.relayed_state),
         (
             "announcement as posted by an upstream, with its answer",
-            m.post,
+            m.announcement,
         ),
         (
             "renewal as posted by an upstream, with its answer",
             m.renewal,
         ),
-        ("load of one upstream", m.load),
-        ("empty batch between routers, with its answer", m.batch),
+        ("load of one upstream", m.load_delta),
+        (
+            "empty batch between routers, with its answer",
+            m.empty_batch,
+        ),
         (
             "adapter that takes another's place, to another data centre",
-            m.moved,
+            m.summary_move,
         ),
         ("confirmation to another data centre", m.confirmation),
         ("heartbeat of the log, with its answer", m.heartbeat),
-        ("one more entry of the log to a follower", m.entry),
+        ("one more entry of the log to a follower", m.log_entry),
         ("demand", m.demand),
         ("order", m.order),
         ("edit of one route", m.edit),
         ("the same to a follower", m.update),
-        ("the same on the disk", m.saved),
+        ("the same on the disk", m.saved_update),
         ("promise to a cell leader, with its answer", m.lease),
         ("claim", m.claim),
         ("settled claim", m.settle),
         ("the tables at this size, whole", m.tables),
     ];
     for (name, bytes) in messages {
-        row(text, &[name, &plain(bytes.round())]);
+        push_row(text, &[name, &format_number(bytes.round())]);
     }
 }
 
@@ -147,19 +154,22 @@
     let times = [
         ("encode an announcement", t.encode_announcement),
         ("decode an announcement", t.decode_announcement),
-        ("apply an announcement", t.announce),
+        ("apply an announcement", t.apply_announcement),
         ("decode a renewal", t.decode_renewal),
-        ("apply a renewal", t.renew),
-        ("decode and apply a load", t.load),
-        ("decode and apply a change of another data centre", t.absorb),
+        ("apply a renewal", t.apply_renewal),
+        ("decode and apply a load", t.apply_load),
+        (
+            "decode and apply a change of another data centre",
+            t.apply_summary,
+        ),
         ("dispatch a request and take note of its end", t.dispatch),
         ("let time pass for a dispatcher", t.tick),
-        ("let the cell look over the upstreams here", t.refresh),
-        ("answer a demand at the cell leader", t.place),
-        ("apply an edit of one route at a controller", t.edit),
-        ("apply it at a follower", t.update),
-        ("look at the cell's members and fences", t.observe),
-        ("apply a claim beside those that are kept", t.claim),
+        ("let the cell look over the upstreams here", t.refresh_cell),
+        ("answer a demand at the cell leader", t.answer_demand),
+        ("apply an edit of one route at a controller", t.apply_edit),
+        ("apply it at a follower", t.apply_update),
+        ("look at the cell's members and fences", t.observe_cell),
+        ("apply a claim beside those that are kept", t.apply_claim),
         ("copy the tables to publish them", t.publish),
         ("encode the tables for the disk", t.encode_tables),
         ("encode a change for the disk", t.encode_update),
@@ -167,115 +177,115 @@
         ("decode an edit in the log", t.decode_edit),
     ];
     for (name, seconds) in times {
-        row(text, &[name, &format!("{:.2}", seconds * 1e6)]);
+        push_row(text, &[name, &format!("{:.2}", seconds * 1e6)]);
     }
 }
 
-fn summary(size: &Size, sums: &[Sum]) -> String {
+fn summary_table(inputs: &CapacityInputs, roles: &[RoleCost]) -> String {
     let mut text = String::from(
         "| role | | core | memory | traffic | over the limit |\n|---|---|---:|---:|---:|---|\n",
     );
-    for sum in sums {
-        let total = sum.total();
-        let state = if sum.built { "built" } else { "planned" };
+    for role in roles {
+        let total = role.total();
+        let state = if role.built { "built" } else { "planned" };
         let cells = [
-            sum.role.to_owned(),
+            role.name.to_owned(),
             state.to_owned(),
             percent(total.core),
             megabytes(total.memory),
             kilobytes(total.traffic),
-            over(size, sum, &total),
+            exceeded_limits(inputs, role, &total),
         ];
-        row(&mut text, &cells.each_ref().map(String::as_str));
+        push_row(&mut text, &cells.each_ref().map(String::as_str));
     }
     text
 }
 
-/// Names each limit that a load passes, and by how much.
+/// Describes the limits of a node that `total` exceeds, and by what factor.
 ///
-/// Control hosts are set aside for their work and the operator's machine is no
-/// node, so the limits of a node do not bind them.
-fn over(size: &Size, sum: &Sum, load: &Load) -> String {
+/// The limits do not apply to control hosts, which are dedicated to this work,
+/// or to the operator's machine, which is not a node.
+fn exceeded_limits(inputs: &CapacityInputs, role: &RoleCost, total: &Cost) -> String {
     let limits = [
-        ("core", load.core, size.core),
-        ("memory", load.memory, size.memory),
-        ("traffic", load.traffic, size.traffic),
+        ("core", total.core, inputs.core_limit),
+        ("memory", total.memory, inputs.memory_limit),
+        ("traffic", total.traffic, inputs.traffic_limit),
     ];
-    let passed: Vec<String> = limits
+    let exceeded: Vec<String> = limits
         .iter()
-        .filter(|(_, is, limit)| is > limit)
-        .map(|(name, is, limit)| format!("{name} × {:.1}", is / limit))
+        .filter(|(_, used, limit)| used > limit)
+        .map(|(name, used, limit)| format!("{name} × {:.1}", used / limit))
         .collect();
-    if passed.is_empty() {
+    if exceeded.is_empty() {
         return "no".to_owned();
     }
-    let passed = passed.join(", ");
-    if sum.is_node() {
-        format!("**{passed}**")
+    let exceeded = exceeded.join(", ");
+    if role.runs_on_node() {
+        format!("**{exceeded}**")
     } else {
-        format!("({passed}; not a node's)")
+        format!("({exceeded}; not a node's)")
     }
 }
 
-fn role_tables(sums: &[Sum], built: bool) -> String {
+fn role_tables(roles: &[RoleCost], built: bool) -> String {
     let mut text = String::new();
-    for sum in sums.iter().filter(|s| s.built == built) {
-        writeln!(text, "**{}**\n", sum.role).ok();
+    for role in roles.iter().filter(|r| r.built == built) {
+        writeln!(text, "**{}**\n", role.name).ok();
         text.push_str("| mechanism | core | memory | traffic |\n|---|---:|---:|---:|\n");
-        for share in &sum.shares {
-            load_row(&mut text, share.mechanism, &share.load);
+        for item in &role.mechanisms {
+            cost_row(&mut text, item.name, &item.cost);
         }
-        load_row(&mut text, "sum", &sum.total());
+        cost_row(&mut text, "sum", &role.total());
         text.push('\n');
     }
     text
 }
 
-fn load_row(text: &mut String, name: &str, load: &Load) {
+fn cost_row(text: &mut String, name: &str, cost: &Cost) {
     let cells = [
         name,
-        &percent(load.core),
-        &megabytes(load.memory),
-        &kilobytes(load.traffic),
+        &percent(cost.core),
+        &megabytes(cost.memory),
+        &kilobytes(cost.traffic),
     ];
-    row(text, &cells);
+    push_row(text, &cells);
 }
 
-/// The hops of a change: operator to leader, leader to a majority, controller
-/// to relay, relay to router.
+/// Number of hops of a change: operator to leader, leader to a majority,
+/// controller to relay, relay to router.
 const HOPS: f64 = 4.0;
 
-/// How long a router waits for a source that does not answer, in seconds.
-const SOURCE_LIMIT: f64 = 8.0;
+/// Time after which a router abandons a source that does not answer, in seconds.
+const SOURCE_TIMEOUT: f64 = 8.0;
 
-/// Works out how long a change takes to be in force everywhere.
-fn spread(size: &Size, slopes: &Slopes) -> String {
+/// Computes the time until a change is in effect everywhere.
+fn propagation_table(inputs: &CapacityInputs, slopes: &Slopes) -> String {
     let (m, t) = (&slopes.message, &slopes.time);
-    let distance = HOPS * size.distance;
-    let sending = [HOPS * m.update / size.traffic; 2];
+    let distance = HOPS * inputs.round_trip;
+    let sending = [HOPS * m.update / inputs.traffic_limit; 2];
     let applying = [
-        t.edit + 2.0 * (t.update + t.encode_update),
-        t.edit + 2.0 * (t.update + t.encode_update),
+        t.apply_edit + 2.0 * (t.apply_update + t.encode_update),
+        t.apply_edit + 2.0 * (t.apply_update + t.encode_update),
     ];
-    let sum = [0, 1].map(|i| distance + sending[i] + applying[i]);
-    let whole = [m.tables / size.traffic; 2];
+    let total = [0, 1].map(|i| distance + sending[i] + applying[i]);
+    let full_tables = [m.tables / inputs.traffic_limit; 2];
     let mut text = String::from("| step | built, s | planned, s |\n|---|---:|---:|\n");
     let mut line = |name: &str, [built, planned]: [f64; 2]| {
         let cells = [built, planned].map(|s| format!("{s:.3}"));
-        row(&mut text, &[name, &cells[0], &cells[1]]);
+        push_row(&mut text, &[name, &cells[0], &cells[1]]);
     };
     line("distance over four hops", [distance; 2]);
     line("sending within the traffic of a node", sending);
     line("applying and saving", applying);
-    line("sum", sum);
+    line("sum", total);
     line(
         "sum, when one source is found dead first",
-        sum.map(|s| s + SOURCE_LIMIT),
+        total.map(|s| s + SOURCE_TIMEOUT),
     );
-    line("limit", [size.spread; 2]);
+    line("limit", [inputs.propagation_limit; 2]);
     line(
         "whole tables to a host that starts anew, within its traffic",
-        whole,
+        full_tables,
     );
     text
 }
@@ -292,20 +302,20 @@
     format!("{:.2} KB/s", bytes / 1e3)
 }
 
-/// Writes a number without needless decimals, its thousands set apart.
-fn plain(number: f64) -> String {
+/// Formats a number without trailing zeros, with thousands separators.
+fn format_number(number: f64) -> String {
     let text = format!("{number}");
-    let (whole, rest) = text.split_once('.').map_or((text.as_str(), ""), |p| p);
+    let (integer, decimals) = text.split_once('.').map_or((text.as_str(), ""), |p| p);
     let mut grouped = String::new();
-    for (i, digit) in whole.chars().enumerate() {
-        if i > 0 && (whole.len() - i) % 3 == 0 {
+    for (i, digit) in integer.chars().enumerate() {
+        if i > 0 && (integer.len() - i) % 3 == 0 {
             grouped.push(',');
         }
         grouped.push(digit);
     }
-    if rest.is_empty() {
+    if decimals.is_empty() {
         grouped
     } else {
-        format!("{grouped}.{rest}")
+        format!("{grouped}.{decimals}")
     }
 }
--- a/tools/capacity/src/samples.rs
+++ b/tools/capacity/src/samples.rs
@@ -1,8 +1,10 @@
-//! Builds tables, announcements and commands of a given size.
+//! Builds sample tables, announcements, messages and commands.
 
 mod relay;
 
-pub(crate) use relay::{batch, load, moved_summary, relayed, renewal, source, whole_summary};
+pub(crate) use relay::{
+    empty_batch, full_summary, load_delta, moved_summary, relayed_state, renewal, source,
+};
 
 use sequoiawing_cell::{CellReply, CellRequest, RequestKind, Version};
 use sequoiawing_consensus::{Entry, Envelope, Message, Payload, Position, ReplicaId};
@@ -15,12 +17,12 @@
 use sequoiawing_types::{Name, RequestId, Time};
 use std::time::Duration;
 
-/// How many entries the tables of a sample have.
+/// The number of entries of each kind in sample tables.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Entries {
+pub(crate) struct TableSizes {
     pub(crate) customers: u32,
     pub(crate) keys: u32,
-    pub(crate) withdrawn: u32,
+    pub(crate) withdrawn_keys: u32,
     pub(crate) routes: u32,
     pub(crate) models: u32,
     pub(crate) adapters: u32,
@@ -36,41 +38,41 @@
 }
 
 /// Builds tables with one pool.
-pub(crate) fn tables(entries: Entries) -> Tables {
+pub(crate) fn tables(sizes: TableSizes) -> Tables {
     let mut tables = Tables::default();
     tables.revision = Revision(8_000);
-    for i in 0..entries.customers {
+    for i in 0..sizes.customers {
         let customer = customer(i);
         tables.customers.insert(customer.name.clone(), customer);
     }
-    for i in 0..entries.keys {
-        let key = BearerKey::random().to_stored_key(name("customer", i % entries.customers.max(1)));
+    for i in 0..sizes.keys {
+        let key = BearerKey::random().to_stored_key(name("customer", i % sizes.customers.max(1)));
         tables.keys.insert(key.id.clone(), key);
     }
-    for _ in 0..entries.withdrawn {
+    for _ in 0..sizes.withdrawn_keys {
         tables.withdrawn.insert(BearerKey::random().id);
     }
-    for i in 0..entries.routes {
+    for i in 0..sizes.routes {
         let route = route(i);
         tables.routes.insert(route.name.clone(), route);
     }
-    for i in 0..entries.hosts {
+    for i in 0..sizes.hosts {
         let host = host(i);
         tables.hosts.insert(host.host.clone(), host);
     }
-    let pool = pool(entries.models, entries.adapters);
+    let pool = pool(sizes.models, sizes.adapters);
     tables.pools.insert(pool.name.clone(), pool);
     tables
 }
 
-/// Builds a pool whose adapters are spread over its models.
+/// Builds a pool whose adapters are distributed evenly over its models.
 pub(crate) fn pool(models: u32, adapters: u32) -> Pool {
-    let share = |i: u32| adapters / models.max(1) + u32::from(i < adapters % models.max(1));
+    let adapter_count = |i: u32| adapters / models.max(1) + u32::from(i < adapters % models.max(1));
     let model = |i: u32| Model {
         name: name("model", i),
         memory: 14_000,
         replicas: 40,
-        adapters: (0..share(i)).map(|a| name("adapter", a)).collect(),
+        adapters: (0..adapter_count(i)).map(|a| name("adapter", a)).collect(),
     };
     Pool {
         name: pool_name(),
@@ -86,13 +88,13 @@
     }
 }
 
-/// The routers of one data centre in the samples.
-pub(crate) const CELL: u32 = 17;
+/// Number of routers per data centre in the samples.
+pub(crate) const ROUTERS_PER_CENTRE: u32 = 17;
 
 fn host(i: u32) -> RouterHost {
     RouterHost {
         host: name("entry", i),
-        centre: centre(i / CELL),
+        centre: centre(i / ROUTERS_PER_CENTRE),
         address: ([10, 20, 30, 40], 7_000).into(),
     }
 }
@@ -113,25 +115,25 @@
     }
 }
 
-/// What one runner holds.
+/// The number of models, adapters and checkpoints on one runner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Holding {
-    pub(crate) loaded: u32,
-    pub(crate) resident: u32,
+pub(crate) struct RunnerContents {
+    pub(crate) models: u32,
+    pub(crate) adapters: u32,
     pub(crate) checkpoints: u32,
 }
 
-/// The runners of one data centre in the samples.
-pub(crate) const RUNNERS: u32 = 177;
+/// Number of runners per data centre in the samples.
+pub(crate) const RUNNERS_PER_CENTRE: u32 = 177;
 
 /// Builds the announcement of one runner.
-pub(crate) fn announcement(i: u32, sequence: u64, holding: Holding) -> UpstreamState {
+pub(crate) fn announcement(i: u32, sequence: u64, contents: RunnerContents) -> UpstreamState {
     let model = |m: u32| name("model", (i + m) % 84);
     let adapter = |a: u32| Name::from(format!("{}:{}", model(a % 2), name("adapter", i + a)));
     UpstreamState {
         name: name("runner", i),
         pool: pool_name(),
-        centre: centre(i / RUNNERS),
+        centre: centre(i / RUNNERS_PER_CENTRE),
         address: Some(([10, 20, 30, 40], 8_000).into()),
         epoch: 1_700_000_000_000,
         sequence,
@@ -141,11 +143,11 @@
         memory: 80_000,
         slots: 64,
         running: 17,
-        loaded: (0..holding.loaded).map(model).collect(),
-        adapters: (0..holding.resident).map(adapter).collect(),
-        active: (0..holding.loaded).map(model).collect(),
-        disk: (0..holding.checkpoints).map(model).collect(),
-        cached: (0..holding.loaded).map(model).collect(),
+        loaded: (0..contents.models).map(model).collect(),
+        adapters: (0..contents.adapters).map(adapter).collect(),
+        active: (0..contents.models).map(model).collect(),
+        disk: (0..contents.checkpoints).map(model).collect(),
+        cached: (0..contents.models).map(model).collect(),
         ..UpstreamState::default()
     }
 }
@@ -183,8 +185,8 @@
     }
 }
 
-/// Builds a request for a model that the first runners have loaded.
-pub(crate) fn work(id: u64) -> DispatchRequest {
+/// Builds a request for a model that is loaded on the first runners.
+pub(crate) fn dispatch_request(id: u64) -> DispatchRequest {
     DispatchRequest {
         id,
         customer: name("customer", 1),
@@ -196,7 +198,7 @@
     }
 }
 
-/// Builds the edit that replaces a route.
+/// Builds an edit that replaces a route.
 pub(crate) fn edit(i: u32, base: Option<Revision>) -> Command {
     let route = Route {
         deadline: 30_000 + u64::from(i),
@@ -209,18 +211,18 @@
     }
 }
 
-/// Builds the edit that grants one more key.
+/// Builds an edit that grants one more key.
 pub(crate) fn grant(_: u32) -> Command {
     let key = BearerKey::random().to_stored_key(name("customer", 0));
-    one_change(Change::GrantKey(key))
+    single_change_edit(Change::GrantKey(key))
 }
 
-/// Builds the edit that adds a route.
+/// Builds an edit that adds a route.
 pub(crate) fn new_route(i: u32) -> Command {
-    one_change(Change::PutRoute(route(i)))
+    single_change_edit(Change::PutRoute(route(i)))
 }
 
-fn one_change(change: Change) -> Command {
+fn single_change_edit(change: Change) -> Command {
     Command::Edit {
         request: RequestId::random(),
         base: None,
@@ -228,16 +230,16 @@
     }
 }
 
-/// Builds what a follower is sent for one change.
+/// Builds the update that a follower receives for one change.
 pub(crate) fn update(base: Revision, i: u32) -> Update {
     let Command::Edit { changes, .. } = edit(i, None) else {
-        unreachable!("an edit was built");
+        unreachable!("`edit` returns `Command::Edit`");
     };
     let revisions = vec![changes.into()];
     Update::Changes { base, revisions }
 }
 
-/// Builds the request for a promise, and its answer.
+/// Builds a request for a lease promise and its reply.
 pub(crate) fn lease() -> (CellRequest, CellReply) {
     let (from, term, epoch, round) = (name("entry", 1), 1_700_000_000_000, 12, 123_456);
     let version = Version {
@@ -266,8 +268,8 @@
     (request, reply)
 }
 
-/// Builds what the leader of the log sends a follower: some entries, or none as
-/// a heartbeat.
+/// Builds the message by which the leader of the log appends entries at a
+/// follower; without commands it is a heartbeat.
 pub(crate) fn append(commands: &[Command]) -> Vec<Envelope> {
     let position = |index| Position { index, term: 1_234 };
     let entry = |(i, command): (u64, &Command)| Entry {
@@ -284,7 +286,7 @@
     })]
 }
 
-/// Builds the follower's answer.
+/// Builds the follower's reply to [`append`].
 pub(crate) fn append_reply() -> Vec<Envelope> {
     vec![envelope(Message::AppendReply {
         term: 1_234,
@@ -296,19 +298,19 @@
 
 fn envelope(message: Message) -> Envelope {
     Envelope {
-        from: ReplicaId(rand_like(1)),
+        from: ReplicaId(wide_id(1)),
         address: ([10, 20, 30, 40], 7_003).into(),
-        to: Some(ReplicaId(rand_like(2))),
+        to: Some(ReplicaId(wide_id(2))),
         message,
     }
 }
 
-/// Returns a number as long as a random one.
-fn rand_like(seed: u64) -> u64 {
+/// Returns an identifier with as many digits as a random one.
+fn wide_id(seed: u64) -> u64 {
     u64::MAX / 3 + seed
 }
 
-/// Builds the claim of a non-repeatable call.
+/// Builds the claim of a call that must not be retried.
 pub(crate) fn claim(i: u32) -> Command {
     Command::Claim {
         id: claim_id(i),
@@ -331,7 +333,7 @@
     }
 }
 
-/// Builds the record of how a claimed call ended.
+/// Builds the command that records the outcome of a claimed call.
 pub(crate) fn settle(i: u32) -> Command {
     Command::Settle {
         id: claim_id(i),
--- a/tools/capacity/src/samples/relay.rs
+++ b/tools/capacity/src/samples/relay.rs
@@ -1,6 +1,6 @@
-//! Builds what upstreams and routers tell of upstreams.
+//! Builds sample messages of upstreams and routers about the state of upstreams.
 
-use super::{Holding, RUNNERS, announcement, centre, name};
+use super::{RUNNERS_PER_CENTRE, RunnerContents, announcement, centre, name};
 use sequoiawing_fleet::{
     LoadDelta, Publisher, Rank, RelayedState, Renewal, Source, StateList, Summary, SummaryChange,
     UpstreamState,
@@ -9,22 +9,22 @@
 use sequoiawing_types::Name;
 use std::ops::Range;
 
-/// Builds the renewal of a runner whose first announcement was whole.
-pub(crate) fn renewal(i: u32, holding: Holding) -> Renewal {
-    Renewal::of(&announcement(i, 2, holding), 1)
+/// Builds the renewal of a runner whose first announcement was a full one.
+pub(crate) fn renewal(i: u32, contents: RunnerContents) -> Renewal {
+    Renewal::of(&announcement(i, 2, contents), 1)
 }
 
-/// Builds what is sent of a runner whose load alone changed.
-pub(crate) fn load(index: u64, sequence: u64, holding: Holding) -> LoadDelta {
+/// Builds the update for a runner of which only the load changed.
+pub(crate) fn load_delta(index: u64, sequence: u64, contents: RunnerContents) -> LoadDelta {
     LoadDelta {
         index,
         sequence,
         running: 17,
-        active: (0..holding.loaded).collect(),
+        active: (0..contents.models).collect(),
     }
 }
 
-/// Returns how a router names itself.
+/// Returns the identity under which a router sends updates.
 pub(crate) fn source() -> Source {
     Source {
         host: name("entry", 18),
@@ -33,23 +33,23 @@
 }
 
 /// Builds an announcement as routers relay it.
-pub(crate) fn relayed(holding: Holding) -> RelayedState {
-    let (index, state) = (1_234, announcement(1_234, 123_456, holding));
+pub(crate) fn relayed_state(contents: RunnerContents) -> RelayedState {
+    let (index, state) = (1_234, announcement(1_234, 123_456, contents));
     RelayedState { index, state }
 }
 
 /// Builds an empty batch between routers.
-pub(crate) fn batch() -> UpstreamBatch {
+pub(crate) fn empty_batch() -> UpstreamBatch {
     UpstreamBatch {
         source: source(),
         ..UpstreamBatch::default()
     }
 }
 
-/// Builds the whole summary of the data centre of some runners.
-pub(crate) fn whole_summary(runners: Range<u32>, holding: Holding) -> Summary {
-    let mut publisher = Publisher::new(centre(runners.start / RUNNERS));
-    let states: Vec<UpstreamState> = runners.map(|i| announcement(i, 1, holding)).collect();
+/// Builds the full summary of a data centre with the given runners.
+pub(crate) fn full_summary(runners: Range<u32>, contents: RunnerContents) -> Summary {
+    let mut publisher = Publisher::new(centre(runners.start / RUNNERS_PER_CENTRE));
+    let states: Vec<UpstreamState> = runners.map(|i| announcement(i, 1, contents)).collect();
     publisher.publish(rank(), states.iter())
 }
 
@@ -58,7 +58,7 @@
     Rank { term, start }
 }
 
-/// Builds the summary of one adapter that takes the place of another.
+/// Builds the summary of a change in which one adapter replaces another.
 pub(crate) fn moved_summary() -> Summary {
     let adapter = |i| {
         (
--- a/tools/capacity/src/slopes.rs
+++ b/tools/capacity/src/slopes.rs
@@ -1,90 +1,90 @@
 use crate::{
-    Size,
-    heap::{bytes_of, slope},
-    machines::{Known, applied, mirror, queue, registry},
+    CapacityInputs,
+    heap::{heap_bytes, slope},
     messages::measure_messages,
-    samples::{self, Entries, Holding},
+    samples::{self, RunnerContents, TableSizes},
+    state_machines::{RouterState, queued_dispatcher, registry, remote_registry, tables_after},
     times::measure_times,
 };
 use sequoiawing_tables::{Pool, Tables};
 use std::collections::BTreeSet;
 
-/// What one more entry, message or event costs, as measured here.
+/// The measured cost of one more entry, message or event.
 ///
-/// Heap and messages are in bytes, times in seconds.
+/// Heap and message costs are in bytes, times in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Slopes {
     pub(crate) heap: HeapSlopes,
     pub(crate) message: MessageSlopes,
     pub(crate) time: TimeSlopes,
     /// The resident memory of an idle router process, in bytes.
-    pub(crate) process: f64,
+    pub(crate) process_memory: f64,
 }
 
-/// Heap bytes of one entry.
+/// Heap bytes per entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HeapSlopes {
     pub(crate) customer: f64,
     pub(crate) key: f64,
-    pub(crate) withdrawn: f64,
+    pub(crate) withdrawn_key: f64,
     pub(crate) route: f64,
     pub(crate) adapter: f64,
     pub(crate) tables: f64,
-    pub(crate) copy: f64,
-    pub(crate) pools: f64,
+    pub(crate) table_copy: f64,
+    pub(crate) pools_copy: f64,
     pub(crate) upstream: f64,
-    pub(crate) known: f64,
-    pub(crate) far: f64,
-    pub(crate) waiting: f64,
+    pub(crate) local_upstream: f64,
+    pub(crate) remote_upstream: f64,
+    pub(crate) queued_request: f64,
     pub(crate) claim: f64,
-    pub(crate) edit: f64,
-    pub(crate) granted: f64,
-    pub(crate) routed: f64,
+    pub(crate) edit_outcome: f64,
+    pub(crate) granted_key: f64,
+    pub(crate) added_route: f64,
 }
 
-/// Bytes of one message as encoded on the link, with its envelope.
+/// Encoded bytes per message, including its envelope.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MessageSlopes {
     pub(crate) envelope: f64,
-    pub(crate) reply: f64,
-    pub(crate) relayed: f64,
-    pub(crate) post: f64,
+    pub(crate) empty_reply: f64,
+    pub(crate) relayed_state: f64,
+    pub(crate) announcement: f64,
     pub(crate) renewal: f64,
     pub(crate) demand: f64,
     pub(crate) order: f64,
     pub(crate) tables: f64,
     pub(crate) edit: f64,
     pub(crate) update: f64,
-    pub(crate) saved: f64,
+    pub(crate) saved_update: f64,
     pub(crate) lease: f64,
     pub(crate) heartbeat: f64,
-    pub(crate) entry: f64,
-    pub(crate) load: f64,
+    pub(crate) log_entry: f64,
+    pub(crate) load_delta: f64,
     pub(crate) claim: f64,
     pub(crate) settle: f64,
-    pub(crate) batch: f64,
-    pub(crate) moved: f64,
+    pub(crate) empty_batch: f64,
+    pub(crate) summary_move: f64,
     pub(crate) confirmation: f64,
 }
 
-/// Processor seconds of one piece of work.
+/// Processor time per operation, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TimeSlopes {
     pub(crate) encode_announcement: f64,
     pub(crate) decode_announcement: f64,
-    pub(crate) announce: f64,
-    pub(crate) load: f64,
-    pub(crate) absorb: f64,
+    pub(crate) apply_announcement: f64,
+    pub(crate) apply_load: f64,
+    pub(crate) apply_summary: f64,
     pub(crate) dispatch: f64,
     pub(crate) tick: f64,
-    pub(crate) renew: f64,
+    pub(crate) apply_renewal: f64,
     pub(crate) decode_renewal: f64,
-    pub(crate) refresh: f64,
-    pub(crate) place: f64,
-    pub(crate) edit: f64,
-    pub(crate) update: f64,
-    pub(crate) observe: f64,
-    pub(crate) claim: f64,
+    pub(crate) refresh_cell: f64,
+    pub(crate) answer_demand: f64,
+    pub(crate) apply_edit: f64,
+    pub(crate) apply_update: f64,
+    pub(crate) observe_cell: f64,
+    pub(crate) apply_claim: f64,
     pub(crate) publish: f64,
     pub(crate) encode_tables: f64,
     pub(crate) encode_update: f64,
@@ -95,94 +95,98 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the sizes are small whole numbers"
+    reason = "the counts are small whole numbers"
 )]
-pub(crate) fn count(number: f64) -> u32 {
+pub(crate) fn to_count(number: f64) -> u32 {
     number as u32
 }
 
 impl Slopes {
-    /// Measures everything at the given size.
+    /// Measures all slopes for the given inputs.
     ///
-    /// `process` is the resident memory of an idle router process, in bytes.
-    pub fn measure(size: &Size, process: f64) -> Self {
+    /// `process_memory` is the resident memory of an idle router process, in bytes.
+    pub fn measure(inputs: &CapacityInputs, process_memory: f64) -> Self {
         Self {
-            process,
-            heap: measure_heap(size),
-            message: measure_messages(size),
-            time: measure_times(size),
+            process_memory,
+            heap: measure_heap(inputs),
+            message: measure_messages(inputs),
+            time: measure_times(inputs),
         }
     }
 }
 
-pub(crate) fn entries(size: &Size) -> Entries {
-    Entries {
-        customers: count(size.customers),
-        keys: count(size.keys),
-        withdrawn: count(size.withdrawn),
-        routes: count(size.routes),
-        models: count(size.models),
-        adapters: count(size.adapters),
-        hosts: count(size.nodes),
+pub(crate) fn table_sizes(inputs: &CapacityInputs) -> TableSizes {
+    TableSizes {
+        customers: to_count(inputs.customers),
+        keys: to_count(inputs.keys),
+        withdrawn_keys: to_count(inputs.withdrawn_keys),
+        routes: to_count(inputs.routes),
+        models: to_count(inputs.models),
+        adapters: to_count(inputs.adapters),
+        hosts: to_count(inputs.nodes),
     }
 }
 
-pub(crate) fn holding(size: &Size) -> Holding {
-    Holding {
-        loaded: count(size.loaded),
-        resident: count(size.resident),
-        checkpoints: count(size.checkpoints),
+pub(crate) fn runner_contents(inputs: &CapacityInputs) -> RunnerContents {
+    RunnerContents {
+        models: to_count(inputs.loaded_models),
+        adapters: to_count(inputs.loaded_adapters),
+        checkpoints: to_count(inputs.checkpoints),
     }
 }
 
-fn table_slope<F>(count: u32, set: F) -> f64
+fn table_slope<F>(count: u32, set_size: F) -> f64
 where
-    F: Fn(&mut Entries, u32),
+    F: Fn(&mut TableSizes, u32),
 {
     slope(count, |n| {
-        let mut entries = Entries::default();
-        set(&mut entries, n);
-        samples::tables(entries)
+        let mut sizes = TableSizes::default();
+        set_size(&mut sizes, n);
+        samples::tables(sizes)
     })
 }
 
-/// The entries over which a slope of the heap is taken.
-const SPAN: u32 = 1_000;
+/// Number of entries over which a heap slope is measured.
+const SLOPE_ENTRIES: u32 = 1_000;
 
-/// Makes the copy of the tables that one change needs.
-fn changed(tables: &Tables) -> Tables {
+/// Returns a copy of the tables with one change applied.
+fn with_update(tables: &Tables) -> Tables {
     let mut next = tables.clone();
     next.apply_update(samples::update(tables.revision, 1));
     next
 }
 
-fn measure_heap(size: &Size) -> HeapSlopes {
-    let holding = holding(size);
-    let tables = samples::tables(entries(size));
+fn measure_heap(inputs: &CapacityInputs) -> HeapSlopes {
+    let contents = runner_contents(inputs);
+    let tables = samples::tables(table_sizes(inputs));
     HeapSlopes {
-        customer: table_slope(SPAN, |e, n| e.customers = n),
-        key: table_slope(SPAN, |e, n| {
-            e.customers = 1;
-            e.keys = n;
+        customer: table_slope(SLOPE_ENTRIES, |s, n| s.customers = n),
+        key: table_slope(SLOPE_ENTRIES, |s, n| {
+            s.customers = 1;
+            s.keys = n;
         }),
-        withdrawn: slope(SPAN, |n| {
+        withdrawn_key: slope(SLOPE_ENTRIES, |n| {
             (0..n).map(samples::key_id).collect::<BTreeSet<_>>()
         }),
-        route: table_slope(SPAN, |e, n| e.routes = n),
-        adapter: table_slope(SPAN, |e, n| {
-            e.models = 1;
-            e.adapters = n;
+        route: table_slope(SLOPE_ENTRIES, |s, n| s.routes = n),
+        adapter: table_slope(SLOPE_ENTRIES, |s, n| {
+            s.models = 1;
+            s.adapters = n;
+        }),
+        tables: heap_bytes(|| samples::tables(table_sizes(inputs))),
+        table_copy: heap_bytes(|| with_update(&tables)),
+        pools_copy: heap_bytes(|| tables.pools.values().cloned().collect::<Vec<Pool>>()),
+        upstream: slope(SLOPE_ENTRIES, |n| registry(n, contents)),
+        local_upstream: slope(SLOPE_ENTRIES, |n| RouterState::new(registry(n, contents))),
+        remote_upstream: slope(SLOPE_ENTRIES, |n| {
+            RouterState::new(remote_registry(n, contents))
+        }),
+        queued_request: slope(SLOPE_ENTRIES, queued_dispatcher),
+        claim: slope(SLOPE_ENTRIES, |n| tables_after(n, samples::claim)),
+        edit_outcome: slope(SLOPE_ENTRIES, |n| {
+            tables_after(n, |i| samples::edit(i, None))
         }),
-        tables: bytes_of(|| samples::tables(entries(size))),
-        copy: bytes_of(|| changed(&tables)),
-        pools: bytes_of(|| tables.pools.values().cloned().collect::<Vec<Pool>>()),
-        upstream: slope(SPAN, |n| registry(n, holding)),
-        known: slope(SPAN, |n| Known::new(registry(n, holding))),
-        far: slope(SPAN, |n| Known::new(mirror(n, holding))),
-        waiting: slope(SPAN, queue),
-        claim: slope(SPAN, |n| applied(n, samples::claim)),
-        edit: slope(SPAN, |n| applied(n, |i| samples::edit(i, None))),
-        granted: slope(SPAN, |n| applied(n, samples::grant)),
-        routed: slope(SPAN, |n| applied(n, samples::new_route)),
+        granted_key: slope(SLOPE_ENTRIES, |n| tables_after(n, samples::grant)),
+        added_route: slope(SLOPE_ENTRIES, |n| tables_after(n, samples::new_route)),
     }
 }
--- a/tools/capacity/src/times.rs
+++ b/tools/capacity/src/times.rs
@@ -1,11 +1,11 @@
-//! Times the work of the decision machines and codecs.
+//! Measures the processor time of the state machines and codecs.
 
 use crate::{
-    Size,
-    machines::{dispatcher, mirror, placer, registry},
-    samples::{self, Holding},
-    slopes::{TimeSlopes, count, entries, holding},
-    speed::seconds,
+    CapacityInputs,
+    samples::{self, RunnerContents},
+    slopes::{TimeSlopes, runner_contents, table_sizes, to_count},
+    state_machines::{dispatcher, placer, registry, remote_registry},
+    timer::median_seconds,
 };
 use sequoiawing_cell::{Cell, CellEvent, CellSettings};
 use sequoiawing_fleet::{LoadDelta, RelayedState, Renewal, Summary, UpstreamState};
@@ -15,65 +15,66 @@
 use sequoiawing_types::{Name, Time};
 use std::{collections::BTreeSet, hint::black_box, sync::Arc, time::Duration};
 
-pub(crate) fn measure_times(size: &Size) -> TimeSlopes {
-    let holding = holding(size);
-    let here = count(size.runners_here());
-    let state = samples::announcement(1, 1, holding);
-    let text = serde_json::to_vec(&state).unwrap_or_default();
-    let renewal = serde_json::to_vec(&samples::renewal(1, holding)).unwrap_or_default();
-    let tables = samples::tables(entries(size));
-    let published = Format::Binary.encode(&tables).unwrap_or_default();
+pub(crate) fn measure_times(inputs: &CapacityInputs) -> TimeSlopes {
+    let contents = runner_contents(inputs);
+    let local_count = to_count(inputs.runners_here());
+    let state = samples::announcement(1, 1, contents);
+    let encoded_announcement = serde_json::to_vec(&state).unwrap_or_default();
+    let encoded_renewal = serde_json::to_vec(&samples::renewal(1, contents)).unwrap_or_default();
+    let tables = samples::tables(table_sizes(inputs));
+    let encoded_tables = Format::Binary.encode(&tables).unwrap_or_default();
     let update = samples::update(Revision(8_000), 1);
-    let edit = serde_json::to_vec(&samples::edit(1, None)).unwrap_or_default();
+    let encoded_edit = serde_json::to_vec(&samples::edit(1, None)).unwrap_or_default();
     TimeSlopes {
-        encode_announcement: seconds(|| {
+        encode_announcement: median_seconds(|| {
             black_box(serde_json::to_vec(&state).ok());
         }),
-        decode_announcement: seconds(|| {
-            black_box(serde_json::from_slice::<UpstreamState>(&text).ok());
+        decode_announcement: median_seconds(|| {
+            black_box(serde_json::from_slice::<UpstreamState>(&encoded_announcement).ok());
         }),
-        announce: time_announce(here, holding),
-        load: time_load(here, holding),
-        absorb: time_absorb(count(size.runners), here, holding),
-        dispatch: time_dispatch(here, holding),
-        tick: time_tick(here, holding),
-        refresh: time_refresh(&tables, here, holding),
-        renew: time_renew(here, holding),
-        decode_renewal: seconds(|| {
-            black_box(serde_json::from_slice::<Renewal>(&renewal).ok());
+        apply_announcement: time_announcement(local_count, contents),
+        apply_load: time_load(local_count, contents),
+        apply_summary: time_summary(to_count(inputs.runners), local_count, contents),
+        dispatch: time_dispatch(local_count, contents),
+        tick: time_tick(local_count, contents),
+        refresh_cell: time_refresh(&tables, local_count, contents),
+        apply_renewal: time_renewal(local_count, contents),
+        decode_renewal: median_seconds(|| {
+            black_box(serde_json::from_slice::<Renewal>(&encoded_renewal).ok());
         }),
-        place: time_place(&tables, here, holding),
-        edit: time_edit(&tables),
-        update: time_update(&tables),
-        observe: time_observe(&tables, count(size.runners), holding),
-        claim: time_claim(count(size.claims * size.kept)),
-        publish: seconds(|| {
+        answer_demand: time_demand(&tables, local_count, contents),
+        apply_edit: time_edit(&tables),
+        apply_update: time_update(&tables),
+        observe_cell: time_observe(&tables, to_count(inputs.runners), contents),
+        apply_claim: time_claim(to_count(inputs.claim_rate * inputs.claim_retention)),
+        publish: median_seconds(|| {
             black_box(tables.published());
         }),
-        encode_tables: seconds(|| {
+        encode_tables: median_seconds(|| {
             black_box(serde_json::to_vec(&tables).ok());
         }),
-        encode_update: seconds(|| {
+        encode_update: median_seconds(|| {
             black_box(serde_json::to_vec(&update).ok());
         }),
-        decode_tables: seconds(|| {
-            black_box(Format::Binary.decode::<Tables>(&published).ok());
+        decode_tables: median_seconds(|| {
+            black_box(Format::Binary.decode::<Tables>(&encoded_tables).ok());
         }),
-        decode_edit: seconds(|| {
-            black_box(serde_json::from_slice::<Command>(&edit).ok());
+        decode_edit: median_seconds(|| {
+            black_box(serde_json::from_slice::<Command>(&encoded_edit).ok());
         }),
     }
 }
 
-/// Times an announcement in the registry and in the dispatcher of one pool.
-fn time_announce(here: u32, holding: Holding) -> f64 {
-    let mut registry = registry(here, holding);
-    let mut dispatcher = dispatcher(here, holding);
-    let state = samples::announcement(1, 1, holding);
+/// Measures how long the registry and the dispatcher of one pool take to apply an
+/// announcement.
+fn time_announcement(local_count: u32, contents: RunnerContents) -> f64 {
+    let mut registry = registry(local_count, contents);
+    let mut dispatcher = dispatcher(local_count, contents);
+    let state = samples::announcement(1, 1, contents);
     let name = state.name.clone();
     let mut out = Vec::new();
     let mut sequence = 1;
-    seconds(|| {
+    median_seconds(|| {
         sequence += 1;
         let state = UpstreamState {
             sequence,
@@ -87,13 +88,14 @@
     })
 }
 
-/// Times a renewal in the registry and in the dispatcher of one pool.
-fn time_renew(here: u32, holding: Holding) -> f64 {
-    let mut registry = registry(here, holding);
-    let mut dispatcher = dispatcher(here, holding);
-    let mut renewal = samples::renewal(1, holding);
+/// Measures how long the registry and the dispatcher of one pool take to apply a
+/// renewal.
+fn time_renewal(local_count: u32, contents: RunnerContents) -> f64 {
+    let mut registry = registry(local_count, contents);
+    let mut dispatcher = dispatcher(local_count, contents);
+    let mut renewal = samples::renewal(1, contents);
     let mut out = Vec::new();
-    seconds(|| {
+    median_seconds(|| {
         renewal.sequence += 1;
         black_box(registry.renew(Time::ZERO, &renewal));
         if let Some(state) = registry.get(&renewal.name).cloned() {
@@ -103,18 +105,19 @@
     })
 }
 
-/// Times a load that another router sent, from its bytes to the dispatcher.
-fn time_load(here: u32, holding: Holding) -> f64 {
-    let mut registry = registry(here, holding);
-    let mut dispatcher = dispatcher(here, holding);
+/// Measures how long a load update from another router takes, from decoding to
+/// the dispatcher.
+fn time_load(local_count: u32, contents: RunnerContents) -> f64 {
+    let mut registry = registry(local_count, contents);
+    let mut dispatcher = dispatcher(local_count, contents);
     let mut out = Vec::new();
     let mut sequence = 1;
-    let bytes = Format::Binary.encode(&samples::load(1, 1, holding));
+    let bytes = Format::Binary.encode(&samples::load_delta(1, 1, contents));
     let bytes = bytes.unwrap_or_default();
-    let (index, state) = (1, samples::announcement(1, 1, holding));
+    let (index, state) = (1, samples::announcement(1, 1, contents));
     let source = samples::source();
     registry.apply_relayed(Time::ZERO, &source, RelayedState { index, state });
-    seconds(|| {
+    median_seconds(|| {
         sequence += 1;
         let mut load: LoadDelta = Format::Binary.decode(&bytes).unwrap_or_default();
         load.sequence = sequence;
@@ -126,24 +129,24 @@
     })
 }
 
-/// Times a change that another data centre told, from its bytes to the
-/// dispatcher.
-fn time_absorb(all: u32, here: u32, holding: Holding) -> f64 {
-    let mut registry = mirror(all, holding);
-    let mut dispatcher = dispatcher(here, holding);
+/// Measures how long a summary change from another data centre takes, from
+/// decoding to the dispatcher.
+fn time_summary(runner_count: u32, local_count: u32, contents: RunnerContents) -> f64 {
+    let mut registry = remote_registry(runner_count, contents);
+    let mut dispatcher = dispatcher(local_count, contents);
     let mut out = Vec::new();
     let mut serial = registry
         .summary(&samples::centre(1))
         .map_or(0, |s| s.serial);
     let bytes = Format::Binary.encode(&samples::moved_summary());
     let bytes = bytes.unwrap_or_default();
-    seconds(|| {
+    median_seconds(|| {
         let mut summary: Summary = Format::Binary.decode(&bytes).unwrap_or_default();
         summary.base = Some(serial);
         serial += 1;
         summary.serial = serial;
-        let absorbed = registry.apply_summary(Time::ZERO, &summary);
-        for name in absorbed.changed {
+        let outcome = registry.apply_summary(Time::ZERO, &summary);
+        for name in outcome.changed {
             if let Some(state) = registry.get(&name).cloned() {
                 dispatcher.handle(Time::ZERO, DispatchEvent::Announced(state), &mut out);
             }
@@ -152,14 +155,14 @@
     })
 }
 
-fn time_dispatch(here: u32, holding: Holding) -> f64 {
-    let mut dispatcher = dispatcher(here, holding);
+fn time_dispatch(local_count: u32, contents: RunnerContents) -> f64 {
+    let mut dispatcher = dispatcher(local_count, contents);
     let mut out = Vec::new();
     let mut id = 0;
-    seconds(|| {
+    median_seconds(|| {
         id += 1;
-        let work = samples::work(id);
-        dispatcher.handle(Time::ZERO, DispatchEvent::Arrived(work), &mut out);
+        let request = samples::dispatch_request(id);
+        dispatcher.handle(Time::ZERO, DispatchEvent::Arrived(request), &mut out);
         for action in out.drain(..) {
             black_box(action);
         }
@@ -170,22 +173,22 @@
     })
 }
 
-fn time_tick(here: u32, holding: Holding) -> f64 {
-    let mut dispatcher = dispatcher(here, holding);
+fn time_tick(local_count: u32, contents: RunnerContents) -> f64 {
+    let mut dispatcher = dispatcher(local_count, contents);
     let mut out = Vec::new();
-    seconds(|| {
+    median_seconds(|| {
         dispatcher.handle(Time::ZERO, DispatchEvent::Tick, &mut out);
         out.clear();
     })
 }
 
-/// Times what a router does each time the cell looks over the decisions of its
+/// Measures the work of a router each time the cell reviews the decisions of its
 /// data centre.
-fn time_refresh(tables: &Tables, here: u32, holding: Holding) -> f64 {
-    let registry = registry(here, holding);
-    let mut placer = configured(placer(here, holding), tables);
+fn time_refresh(tables: &Tables, local_count: u32, contents: RunnerContents) -> f64 {
+    let registry = registry(local_count, contents);
+    let mut placer = with_pools(placer(local_count, contents), tables);
     let mut out = Vec::new();
-    seconds(|| {
+    median_seconds(|| {
         let states: Vec<Arc<UpstreamState>> = registry.local().cloned().collect();
         for state in states {
             placer.handle(Time::ZERO, PlaceEvent::Announced(state), &mut out);
@@ -195,20 +198,20 @@
     })
 }
 
-fn configured(mut placer: Placer, tables: &Tables) -> Placer {
+fn with_pools(mut placer: Placer, tables: &Tables) -> Placer {
     let pools = tables.pools.values().cloned().collect();
     let event = PlaceEvent::Configured { pools };
     placer.handle(Time::ZERO, event, &mut Vec::new());
     placer
 }
 
-/// Times the answer to one demand at the cell leader.
-fn time_place(tables: &Tables, here: u32, holding: Holding) -> f64 {
-    let mut placer = configured(placer(here, holding), tables);
+/// Measures how long the cell leader takes to answer one demand.
+fn time_demand(tables: &Tables, local_count: u32, contents: RunnerContents) -> f64 {
+    let mut placer = with_pools(placer(local_count, contents), tables);
     let mut out = Vec::new();
     let demand = samples::demand();
     let mut now = Time::ZERO;
-    seconds(|| {
+    median_seconds(|| {
         now = now + Duration::from_millis(1);
         black_box(placer.demand(now, &demand, &mut out));
         out.clear();
@@ -218,17 +221,17 @@
 fn time_edit(tables: &Tables) -> f64 {
     let mut tables = tables.clone();
     let mut i = 0;
-    seconds(|| {
+    median_seconds(|| {
         i += 1;
         black_box(tables.apply(samples::edit(i, None)));
     })
 }
 
-/// Times what a router does with one change.
+/// Measures how long a router takes to apply one change.
 fn time_update(tables: &Tables) -> f64 {
     let mut tables = tables.clone();
     let mut i = 0;
-    seconds(|| {
+    median_seconds(|| {
         i += 1;
         let mut next = tables.clone();
         next.apply_update(samples::update(tables.revision, i));
@@ -236,10 +239,10 @@
     })
 }
 
-/// Times what a member of a cell does each time it looks at the clock.
-fn time_observe(tables: &Tables, all: u32, holding: Holding) -> f64 {
-    let registry = registry(all, holding);
-    let here = samples::centre(1);
+/// Measures the work of a cell member on each tick.
+fn time_observe(tables: &Tables, runner_count: u32, contents: RunnerContents) -> f64 {
+    let registry = registry(runner_count, contents);
+    let centre = samples::centre(1);
     let mut cell = Cell::new(
         Name::from("entry-00018"),
         CellSettings::default(),
@@ -247,14 +250,14 @@
         0,
     );
     let mut out = Vec::new();
-    seconds(|| {
-        let members: BTreeSet<Name> = tables.members(&here).map(|h| h.host.clone()).collect();
+    median_seconds(|| {
+        let members: BTreeSet<Name> = tables.members(&centre).map(|h| h.host.clone()).collect();
         let epoch = 1;
         let now = Time::ZERO;
         cell.handle(now, CellEvent::Members { epoch, members }, &mut out);
         let fences = registry
             .iter()
-            .filter(|s| s.centre == here)
+            .filter(|s| s.centre == centre)
             .map(|s| s.fence);
         cell.handle(now, CellEvent::Fence(fences.max().unwrap_or(0)), &mut out);
         cell.handle(now, CellEvent::Tick, &mut out);
@@ -262,14 +265,14 @@
     })
 }
 
-/// Times one more claim beside so many that are kept.
-fn time_claim(kept: u32) -> f64 {
+/// Measures how long one more claim takes when `existing` claims are retained.
+fn time_claim(existing: u32) -> f64 {
     let mut tables = Tables::default();
-    for i in 0..kept {
+    for i in 0..existing {
         tables.apply(samples::claim(i));
     }
-    let mut i = kept;
-    seconds(|| {
+    let mut i = existing;
+    median_seconds(|| {
         i += 1;
         black_box(tables.apply(samples::claim(i)));
     })
--- a/tools/capacity/tests/page.rs
+++ b/tools/capacity/tests/page.rs
@@ -1,13 +1,14 @@
-//! Checks that docs/CAPACITY.md was written by this tool.
+//! Checks docs/CAPACITY.md against the output of this tool.
 
-use capacity::{Size, inputs, insert};
+use capacity::{CapacityInputs, input_table, replace_section};
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
-/// Measured figures differ from run to run; the fixed inputs may not.
+/// Only the fixed inputs are compared, because measured figures differ between
+/// runs.
 #[test]
 fn the_page_has_the_inputs_of_the_tool() {
-    let written = insert(PAGE, "inputs", &inputs(&Size::default()));
+    let written = replace_section(PAGE, "inputs", &input_table(&CapacityInputs::default()));
     assert_eq!(
         written.as_deref(),
         Some(PAGE),
@@ -29,5 +30,5 @@
 
 #[test]
 fn a_page_without_markers_is_not_written() {
-    assert_eq!(insert("# Capacity\n", "inputs", "text\n"), None);
+    assert_eq!(replace_section("# Capacity\n", "inputs", "text\n"), None);
 }
