--- a/crates/sequoiawing_router/src/controllers/budget.rs
+++ b/crates/sequoiawing_router/src/controllers/budget.rs
@@ -64,7 +64,9 @@
         let now = state.now();
         let tables = state.tables.get();
         if tables.revision.0 > 0 {
-            state.purses.know(now, tables.customers.values());
+            state
+                .purses
+                .register_customers(now, tables.customers.values());
         }
         if now >= refreshed + SHARE_INTERVAL {
             refreshed = now;
@@ -75,7 +77,7 @@
         if open.load(Ordering::Relaxed) >= OPEN_CALLS {
             continue;
         }
-        let asks = state.purses.asks(now);
+        let asks = state.purses.borrow_requests(now);
         if asks.is_empty() {
             continue;
         }
@@ -83,7 +85,9 @@
         let batch = BudgetBatch { borrower, asks };
         if state.lease().is_some() {
             let replies = state.lend(batch);
-            state.purses.hear(state.now(), replies.unwrap_or_default());
+            state
+                .purses
+                .handle_replies(state.now(), replies.unwrap_or_default());
             continue;
         }
         let Some(leader) = leader(&state) else {
@@ -97,7 +101,7 @@
                 client.lend(context, batch).await
             });
             if let Ok(Some(replies)) = call.await {
-                state.purses.hear(state.now(), replies);
+                state.purses.handle_replies(state.now(), replies);
             }
             open.fetch_sub(1, Ordering::Relaxed);
         })
@@ -187,7 +191,7 @@
             continue;
         };
         if !recalled.is_empty() {
-            state.purses.poke(state.now(), &recalled);
+            state.purses.mark_due(state.now(), &recalled);
             sleep(WAIT_INTERVAL).await;
         }
     }
--- a/crates/sequoiawing_router/src/controllers/store_credits.rs
+++ b/crates/sequoiawing_router/src/controllers/store_credits.rs
@@ -96,14 +96,18 @@
         let left = usize::try_from(left).unwrap_or(usize::MAX);
         let used = self.starts.len().saturating_sub(left);
         for charge in self.starts.drain(..used) {
-            self.state.purses.end(now, &self.names.starts, charge, 1);
+            self.state
+                .purses
+                .settle_charge(now, &self.names.starts, charge, 1);
         }
     }
 
     /// Takes back starts that are of no use now, so that they are not saved up.
     fn reset(&mut self, now: Time, loads: u32, adapters: u32) -> Vec<PlaceEvent> {
         for charge in self.starts.drain(..) {
-            self.state.purses.end(now, &self.names.starts, charge, 0);
+            self.state
+                .purses
+                .settle_charge(now, &self.names.starts, charge, 0);
         }
         // Only what follows counts: the static shares are replaced at once.
         vec![
@@ -133,7 +137,7 @@
             let budget = self.names.starts.clone();
             let decided = self.decided.0.clone();
             spawn(async move {
-                let decision = state.purses.take(now, &budget, 1).await;
+                let decision = state.purses.charge(now, &budget, 1).await;
                 decided.send(decision).await.ok();
             })
             .detach();
--- a/crates/sequoiawing_router/src/lib.rs
+++ b/crates/sequoiawing_router/src/lib.rs
@@ -36,7 +36,7 @@
 pub use daemon::Router;
 pub use exchange::{Completion, Credential, Exchange, Message};
 pub use filters::StandardFilters;
-pub use limiter::{Limiter, LocalLimiter, Reservation, Reserving};
+pub use limiter::{Limiter, LocalLimiter, Reservation, ReserveFuture};
 pub use plugin::{Plugin, RouterBuilder};
 pub use refusal::{Code, Refused};
 pub use settings::{PeerSettings, RouterSettings};
--- a/crates/sequoiawing_router/src/limiter/local.rs
+++ b/crates/sequoiawing_router/src/limiter/local.rs
@@ -1,4 +1,4 @@
-use super::{Limiter, Reservation, Reserving};
+use super::{Limiter, Reservation, ReserveFuture};
 use parking_lot::Mutex;
 use sequoiawing_budget::Denial;
 use sequoiawing_tables::Customer;
@@ -8,13 +8,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: u64,
-    refilled: Time,
+    refilled_at: Time,
 }
 
-/// Limits customers by what this host alone has served.
+/// Limits customers by the requests of this host only.
 ///
-/// It is exact only on a deployment of one router; it also stands as the
-/// baseline beside shared budgets.
+/// It is exact only in deployments with a single router. It also serves as the
+/// baseline for comparison with shared budgets.
 #[derive(Debug, Default)]
 pub struct LocalLimiter {
     buckets: Mutex<HashMap<Name, Bucket>>,
@@ -25,7 +25,7 @@
         let mut buckets = self.buckets.lock();
         let full = Bucket {
             tokens: customer.burst,
-            refilled: now,
+            refilled_at: now,
         };
         let bucket = buckets.entry(customer.name.clone()).or_insert(full);
         refill(bucket, now, customer);
@@ -40,17 +40,17 @@
 }
 
 fn refill(bucket: &mut Bucket, now: Time, customer: &Customer) {
-    let micros = u64::try_from(now.since(bucket.refilled).as_micros()).unwrap_or(u64::MAX);
-    let earned = micros.saturating_mul(customer.rate) / 1_000_000;
-    if earned == 0 {
+    let micros = u64::try_from(now.since(bucket.refilled_at).as_micros()).unwrap_or(u64::MAX);
+    let refill = micros.saturating_mul(customer.rate) / 1_000_000;
+    if refill == 0 {
         return;
     }
-    bucket.tokens = bucket.tokens.saturating_add(earned).min(customer.burst);
-    bucket.refilled = now;
+    bucket.tokens = bucket.tokens.saturating_add(refill).min(customer.burst);
+    bucket.refilled_at = now;
 }
 
 impl Limiter for LocalLimiter {
-    fn reserve<'a>(&'a self, now: Time, customer: &'a Customer, tokens: u64) -> Reserving<'a> {
+    fn reserve<'a>(&'a self, now: Time, customer: &'a Customer, tokens: u64) -> ReserveFuture<'a> {
         let result = self.try_reserve(now, customer, tokens);
         Box::pin(async move {
             result.map(|()| Reservation {
--- a/crates/sequoiawing_router/src/limiter/shared.rs
+++ b/crates/sequoiawing_router/src/limiter/shared.rs
@@ -1,4 +1,4 @@
-use super::{Limiter, Reservation, Reserving};
+use super::{Limiter, Reservation, ReserveFuture};
 use async_channel::{Receiver, Sender};
 use parking_lot::{Mutex, RwLock};
 use sequoiawing_budget::{
@@ -15,13 +15,13 @@
     time::Duration,
 };
 
-/// How long a request that the purse does not cover waits for the round trip
-/// to the owner.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// The longest time that a request which the local budget does not cover waits
+/// for the round trip to the owner.
+const MAX_WAIT: Duration = Duration::from_millis(500);
 
-/// The part of a burst that each router holds for a customer in use, for the
-/// time in which a cell elects another leader.
-const RESERVE_PART: u64 = 64;
+/// The divisor of the burst that gives the reserve of each router for an active
+/// customer. The reserve covers the time in which a cell elects a new leader.
+const RESERVE_DIVISOR: u64 = 64;
 
 /// The budget of one customer on this router.
 struct CustomerBudget {
@@ -34,14 +34,14 @@
 }
 
 impl Inner {
-    /// Tells waiting requests what was decided.
-    fn poll(&mut self, now: Time) {
+    /// Delivers the decisions to the waiting requests.
+    fn deliver_decisions(&mut self, now: Time) {
         let mut decided = Vec::new();
         self.admission.poll(now, &mut decided);
         for (id, decision) in decided {
             let sender = self.waiting.remove(&id);
-            let is_told = sender.is_some_and(|s| s.try_send(decision).is_ok());
-            if let (false, Ok(charge)) = (is_told, decision) {
+            let is_delivered = sender.is_some_and(|s| s.try_send(decision).is_ok());
+            if let (false, Ok(charge)) = (is_delivered, decision) {
                 self.admission.settle(now, charge, 0);
             }
         }
@@ -50,14 +50,14 @@
 
 /// Limits customers by budgets that all routers share.
 ///
-/// Most requests are charged to credit that the router holds already; others
-/// wait for the cell leader and the owner. See
+/// Most requests are charged to credit that the router already holds. The
+/// others wait for the cell leader and the owner. See
 /// [docs/design/budgets.md](../../../../docs/design/budgets.md).
 pub(crate) struct SharedLimiter {
     incarnation: u64,
     budgets: RwLock<HashMap<Name, Arc<CustomerBudget>>>,
-    next: AtomicU64,
-    /// Whether a lender has answered for every customer once.
+    next_id: AtomicU64,
+    /// Whether a lender has answered once for every customer.
     ready: AtomicBool,
     due: (Sender<()>, Receiver<()>),
 }
@@ -70,27 +70,27 @@
         Self {
             incarnation,
             budgets: RwLock::default(),
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
             ready: AtomicBool::new(false),
             due: async_channel::bounded(1),
         }
     }
 
-    /// Waits until the cell leader should be asked at once.
+    /// Waits until a request to the cell leader is due immediately.
     pub(crate) async fn wait_until_due(&self) {
         self.due.1.recv().await.ok();
     }
 
-    /// Takes in the customers, so that their budgets are known to the lenders
-    /// before the first request.
-    pub(crate) fn know<'a, I>(&self, now: Time, customers: I)
+    /// Registers the customers, so that the lenders know their budgets before the
+    /// first request.
+    pub(crate) fn register_customers<'a, I>(&self, now: Time, customers: I)
     where
         I: Iterator<Item = &'a Customer>,
     {
         let mut is_served = true;
         for customer in customers {
             let budget = self.budget(now, &customer.name);
-            let reserve = customer.burst / RESERVE_PART;
+            let reserve = customer.burst / RESERVE_DIVISOR;
             let mut inner = budget.inner.lock();
             inner.admission.set_reserve(reserve);
             is_served &= inner.admission.budget().is_served();
@@ -98,57 +98,58 @@
         self.ready.fetch_or(is_served, Ordering::Relaxed);
     }
 
-    /// Takes in a budget that no customer has, and asks for its share again.
+    /// Registers a budget that belongs to no customer, and marks its share as due
+    /// for refresh.
     pub(crate) fn refresh(&self, now: Time, budget: &Name) {
         self.budget(now, budget).inner.lock().admission.mark_due();
     }
 
-    /// Reports whether, at one moment since the start, a lender had answered
-    /// for every customer that was known then.
+    /// Reports whether, at some time since the start, a lender had answered for
+    /// every customer that was known then.
     ///
-    /// It never turns back: a customer who is added later does not fail the
+    /// It never reverts to false, so that adding a customer does not fail the
     /// health check of every router.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Returns the messages for the cell leader that are due.
-    pub(crate) fn asks(&self, now: Time) -> Vec<(Name, BorrowRequest)> {
-        let mut asks = Vec::new();
-        for (customer, budget) in self.all() {
+    /// Returns the borrow requests to the cell leader that are due.
+    pub(crate) fn borrow_requests(&self, now: Time) -> Vec<(Name, BorrowRequest)> {
+        let mut borrow_requests = Vec::new();
+        for (customer, budget) in self.snapshot() {
             let mut inner = budget.inner.lock();
             inner.admission.tick(now);
-            inner.poll(now);
+            inner.deliver_decisions(now);
             if inner.admission.is_due(now) {
-                asks.push((customer, inner.admission.borrow_request(now)));
+                borrow_requests.push((customer, inner.admission.borrow_request(now)));
             }
         }
-        asks
+        borrow_requests
     }
 
-    /// Takes in the cell leader's answers.
-    pub(crate) fn hear(&self, now: Time, replies: Vec<(Name, Reply)>) {
+    /// Applies the cell leader's replies.
+    pub(crate) fn handle_replies(&self, now: Time, replies: Vec<(Name, Reply)>) {
         for (customer, reply) in replies {
             let budget = self.budget(now, &customer);
             let mut inner = budget.inner.lock();
             inner.admission.handle_reply(now, &reply);
-            inner.poll(now);
+            inner.deliver_decisions(now);
             if inner.admission.is_due(now) {
                 self.due.0.try_send(()).ok();
             }
         }
     }
 
-    /// Has the cell leader asked about these customers, because it told us to
-    /// return credit.
-    pub(crate) fn poke(&self, now: Time, customers: &[Name]) {
+    /// Marks requests for these customers as due immediately, because the cell
+    /// leader recalled credit.
+    pub(crate) fn mark_due(&self, now: Time, customers: &[Name]) {
         for customer in customers {
             self.budget(now, customer).inner.lock().admission.mark_due();
         }
         self.due.0.try_send(()).ok();
     }
 
-    /// Reports whether a request waits.
+    /// Reports whether any request is waiting.
     pub(crate) fn is_waiting(&self) -> bool {
         let budgets = self.budgets.read();
         budgets
@@ -156,27 +157,27 @@
             .any(|b| b.inner.lock().admission.is_waiting())
     }
 
-    /// Returns the cut-off share of the data centre, as last heard.
+    /// Returns the share of the data centre while disconnected, as last received.
     pub(crate) fn share(&self, now: Time, customer: &Name) -> Share {
         let budget = self.budget(now, customer);
         let inner = budget.inner.lock();
         inner.admission.budget().share()
     }
 
-    /// Returns the purses as JSON, for the dump.
+    /// Returns the budgets as JSON, for the state dump.
     pub(crate) fn dump(&self) -> serde_json::Value {
-        let all = self.all().into_iter();
-        let purses: BTreeMap<Name, serde_json::Value> = all
+        let snapshot = self.snapshot().into_iter();
+        let budgets: BTreeMap<Name, serde_json::Value> = snapshot
             .map(|(customer, budget)| {
                 let inner = budget.inner.lock();
-                let purse = serde_json::to_value(&inner.admission).unwrap_or_default();
-                (customer, purse)
+                let budget = serde_json::to_value(&inner.admission).unwrap_or_default();
+                (customer, budget)
             })
             .collect();
-        serde_json::to_value(purses).unwrap_or_default()
+        serde_json::to_value(budgets).unwrap_or_default()
     }
 
-    fn all(&self) -> Vec<(Name, Arc<CustomerBudget>)> {
+    fn snapshot(&self) -> Vec<(Name, Arc<CustomerBudget>)> {
         let budgets = self.budgets.read();
         budgets
             .iter()
@@ -190,8 +191,8 @@
         }
         let refill = Refill::PerSecond(0);
         let make = || {
-            let purse = RouterBudget::new(now, self.incarnation, refill, Timing::default());
-            let mut admission = Admission::new(purse, PATIENCE);
+            let budget = RouterBudget::new(now, self.incarnation, refill, Timing::default());
+            let mut admission = Admission::new(budget, MAX_WAIT);
             admission.mark_due();
             let waiting = HashMap::new();
             let inner = Mutex::new(Inner { admission, waiting });
@@ -201,18 +202,18 @@
         budgets.entry(customer.clone()).or_insert_with(make).clone()
     }
 
-    fn request(&self, now: Time, customer: &Name, tokens: u64) -> Requested {
+    fn request(&self, now: Time, customer: &Name, tokens: u64) -> ChargeRequest {
         let budget = self.budget(now, customer);
         let mut inner = budget.inner.lock();
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         if let Some(decision) = inner.admission.request(now, id, tokens) {
-            return Requested::Decided(decision);
+            return ChargeRequest::Decided(decision);
         }
         let (sender, receiver) = async_channel::bounded(1);
         inner.waiting.insert(id, sender);
         drop(inner);
         self.due.0.try_send(()).ok();
-        Requested::Waits(Waiter {
+        ChargeRequest::Waiting(PendingCharge {
             budget,
             id,
             receiver,
@@ -220,45 +221,45 @@
     }
 }
 
-/// Budgets that no customer has.
+/// Budgets that belong to no customer.
 impl SharedLimiter {
-    /// Takes tokens of a budget.
-    pub(crate) async fn take(&self, now: Time, budget: &Name, tokens: u64) -> Decision {
-        self.request(now, budget, tokens).decided().await
+    /// Charges tokens to a budget.
+    pub(crate) async fn charge(&self, now: Time, budget: &Name, tokens: u64) -> Decision {
+        self.request(now, budget, tokens).decision().await
     }
 
-    /// Gives back tokens that were taken and not used.
-    pub(crate) fn end(&self, now: Time, budget: &Name, charge: Charge, used: u64) {
+    /// Settles a charge and refunds the unused tokens.
+    pub(crate) fn settle_charge(&self, now: Time, budget: &Name, charge: Charge, used: u64) {
         let budget = self.budget(now, budget);
         budget.inner.lock().admission.settle(now, charge, used);
     }
 }
 
-enum Requested {
+enum ChargeRequest {
     Decided(Decision),
-    Waits(Waiter),
+    Waiting(PendingCharge),
 }
 
-impl Requested {
-    async fn decided(self) -> Decision {
+impl ChargeRequest {
+    async fn decision(self) -> Decision {
         match self {
             Self::Decided(decision) => decision,
-            Self::Waits(waiter) => {
-                let received = waiter.receiver.recv().await;
-                received.unwrap_or(Err(Denial::Unavailable(PATIENCE)))
+            Self::Waiting(pending) => {
+                let received = pending.receiver.recv().await;
+                received.unwrap_or(Err(Denial::Unavailable(MAX_WAIT)))
             }
         }
     }
 }
 
-/// Forgets a waiting request when its caller has left.
-struct Waiter {
+/// Cancels a waiting request when its caller disconnects.
+struct PendingCharge {
     budget: Arc<CustomerBudget>,
     id: u64,
     receiver: Receiver<Decision>,
 }
 
-impl Drop for Waiter {
+impl Drop for PendingCharge {
     fn drop(&mut self) {
         let mut inner = self.budget.inner.lock();
         if inner.waiting.remove(&self.id).is_some() {
@@ -268,10 +269,10 @@
 }
 
 impl Limiter for SharedLimiter {
-    fn reserve<'a>(&'a self, now: Time, customer: &'a Customer, tokens: u64) -> Reserving<'a> {
+    fn reserve<'a>(&'a self, now: Time, customer: &'a Customer, tokens: u64) -> ReserveFuture<'a> {
         let requested = self.request(now, &customer.name, tokens);
         Box::pin(async move {
-            let decision = requested.decided().await;
+            let decision = requested.decision().await;
             decision.map(|charge| Reservation {
                 customer: customer.name.clone(),
                 tokens,
