--- a/crates/sequoiawing_gateway/src/daemon.rs
+++ b/crates/sequoiawing_gateway/src/daemon.rs
@@ -146,7 +146,7 @@
         model = exchange.model(), customer = exchange.customer(),
         code = format!("{:?}", refused.code), ran = refused.ran.as_str(),
         cause = refused.message.as_str(),
-        retry_ms = refused.retry.map(|r| u64::try_from(r.as_millis()).unwrap_or(u64::MAX)),
+        retry_ms = refused.retry_after.map(|r| u64::try_from(r.as_millis()).unwrap_or(u64::MAX)),
         took_ms = u64::try_from(latency.as_millis()).unwrap_or(u64::MAX);
         "Request refused."
     );
--- a/crates/sequoiawing_gateway/src/filters/forward.rs
+++ b/crates/sequoiawing_gateway/src/filters/forward.rs
@@ -9,7 +9,7 @@
 use sequoiawing_catalog::RetryPolicy;
 use sequoiawing_http::Body;
 use sequoiawing_policy::serving::BalancerRequest;
-use sequoiawing_router::{Answer, Code, Filter, Next, Refused};
+use sequoiawing_router::{Code, Filter, FilterFuture, Next, Refused};
 use sequoiawing_types::Ran;
 use std::{sync::Arc, time::Duration};
 
@@ -133,7 +133,10 @@
                 }
                 let problem = format!("no upstream could be reached: {cause}");
                 let refused = Refused::new(Code::NoUpstream, problem);
-                Err(final_refusal(refused.with_retry(OVERLOADED_RETRY), ran))
+                Err(final_refusal(
+                    refused.with_retry_after(OVERLOADED_RETRY),
+                    ran,
+                ))
             }
             AttemptError::NotRun(kind) => {
                 progress.attempts += 1;
@@ -146,7 +149,10 @@
                     _ => "the upstream is full",
                 };
                 let refused = Refused::new(Code::Overloaded, problem);
-                Err(final_refusal(refused.with_retry(OVERLOADED_RETRY), ran))
+                Err(final_refusal(
+                    refused.with_retry_after(OVERLOADED_RETRY),
+                    ran,
+                ))
             }
             AttemptError::MayHaveRun(cause) => {
                 progress.attempts += 1;
@@ -196,7 +202,7 @@
         &'a self,
         exchange: &'a mut GatewayExchange,
         _next: Next<'a, GatewayExchange>,
-    ) -> Answer<'a> {
+    ) -> FilterFuture<'a> {
         Box::pin(self.forward(exchange))
     }
 }
--- a/crates/sequoiawing_gateway/src/filters/mod.rs
+++ b/crates/sequoiawing_gateway/src/filters/mod.rs
@@ -8,7 +8,7 @@
 mod route;
 
 use crate::{GatewayExchange, GatewayState};
-use sequoiawing_router::{Answer, Chain, Filter, Next, Refused};
+use sequoiawing_router::{Chain, Filter, FilterFuture, Next, Refused};
 use std::sync::Arc;
 
 /// A filter that sets fields of the exchange or refuses the request, and does
@@ -40,7 +40,7 @@
         &'a self,
         exchange: &'a mut GatewayExchange,
         next: Next<'a, GatewayExchange>,
-    ) -> Answer<'a> {
+    ) -> FilterFuture<'a> {
         Box::pin(async move {
             self.0.check(exchange)?;
             next.run(exchange).await
--- a/crates/sequoiawing_gateway/src/filters/parse_headers.rs
+++ b/crates/sequoiawing_gateway/src/filters/parse_headers.rs
@@ -28,7 +28,7 @@
         if exchange.index.version() == 0 {
             let problem = "this host has no configuration yet";
             let refused = Refused::new(Code::Unavailable, problem);
-            return Err(refused.with_retry(NO_CATALOG_RETRY));
+            return Err(refused.with_retry_after(NO_CATALOG_RETRY));
         }
         Ok(())
     }
--- a/crates/sequoiawing_gateway/src/filters/rate_limit.rs
+++ b/crates/sequoiawing_gateway/src/filters/rate_limit.rs
@@ -1,5 +1,5 @@
 use crate::{GatewayExchange, GatewayState};
-use sequoiawing_router::{Answer, Code, Filter, Next, Refused};
+use sequoiawing_router::{Code, Filter, FilterFuture, Next, Refused};
 use sequoiawing_types::Ran;
 use std::{sync::Arc, time::Duration};
 
@@ -32,7 +32,8 @@
                     "Request exceeds the customer's rate limit."
                 );
                 let problem = "the customer's rate and burst are used up";
-                Refused::new(Code::RateLimited, problem).with_retry(retry.max(MIN_RETRY_DELAY))
+                Refused::new(Code::RateLimited, problem)
+                    .with_retry_after(retry.max(MIN_RETRY_DELAY))
             })?;
         exchange.units = units;
         Ok(())
@@ -48,7 +49,7 @@
         &'a self,
         exchange: &'a mut GatewayExchange,
         next: Next<'a, GatewayExchange>,
-    ) -> Answer<'a> {
+    ) -> FilterFuture<'a> {
         Box::pin(async move {
             self.charge(exchange)?;
             let (customer, units) = (exchange.customer.clone(), exchange.units);
--- a/crates/sequoiawing_gateway/src/filters/read_body.rs
+++ b/crates/sequoiawing_gateway/src/filters/read_body.rs
@@ -1,6 +1,6 @@
 use crate::GatewayExchange;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
-use sequoiawing_router::{Answer, Code, Filter, Next, Refused};
+use sequoiawing_router::{Code, Filter, FilterFuture, Next, Refused};
 use sequoiawing_runtime::timeout;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
         &'a self,
         exchange: &'a mut GatewayExchange,
         next: Next<'a, GatewayExchange>,
-    ) -> Answer<'a> {
+    ) -> FilterFuture<'a> {
         Box::pin(async move {
             read(exchange).await?;
             next.run(exchange).await
--- a/crates/sequoiawing_gateway/src/slots.rs
+++ b/crates/sequoiawing_gateway/src/slots.rs
@@ -116,14 +116,14 @@
                 PickResult::Full(retry) => {
                     self.record_demand(work, DemandEvent::Saturated);
                     let problem = "all upstreams that can serve the request are full";
-                    let refused = Refused::new(Code::Overloaded, problem).with_retry(retry);
+                    let refused = Refused::new(Code::Overloaded, problem).with_retry_after(retry);
                     (self.capacity_deadline(), refused)
                 }
                 PickResult::NotLoaded => self.wait_for_model(work),
                 PickResult::NoUpstream => {
                     let problem = "no upstream of the pool is known";
                     let refused =
-                        Refused::new(Code::NoUpstream, problem).with_retry(NO_UPSTREAM_RETRY);
+                        Refused::new(Code::NoUpstream, problem).with_retry_after(NO_UPSTREAM_RETRY);
                     (self.capacity_deadline(), refused)
                 }
             };
@@ -164,7 +164,7 @@
         let ready = name.and_then(|model| self.state.time_until_loaded(&work.pool, model));
         let refuse = |retry| {
             let problem = "no upstream has the model loaded";
-            Refused::new(Code::NoUpstream, problem).with_retry(retry)
+            Refused::new(Code::NoUpstream, problem).with_retry_after(retry)
         };
         let remaining = self.exchange.remaining(self.started);
         let Some(ready) = ready else {
--- a/crates/sequoiawing_router/src/attempt.rs
+++ b/crates/sequoiawing_router/src/attempt.rs
@@ -1,12 +1,12 @@
-//! One attempt to have a request answered by one upstream.
+//! One attempt to send a request to an upstream.
 
 use crate::{
     Exchange, RouterState,
     headers::{
         ATTEMPT_HEADER, DEADLINE_HEADER, RAN_HEADER, RESUME_ATTEMPT_HEADER, RESUME_OFFSET_HEADER,
-        remove_own_headers,
+        remove_internal_headers,
     },
-    request_id::mark,
+    request_id::set_header,
     shard::Assignment,
 };
 use bytes::Bytes;
@@ -23,29 +23,31 @@
 use sequoiawing_types::{Name, Ran, Time};
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc, time::Duration};
 
-/// The most of an unstreamed answer that is held until it is whole, in bytes.
+/// The maximum size of a response that is not streamed and is buffered until it
+/// is complete, in bytes.
 ///
-/// What is held can still be asked for again when its upstream fails.
-const HELD_BYTES: usize = 1024 * 1024;
+/// While a response is buffered, its request can be retried if the upstream
+/// fails.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
-/// Why an attempt brought no answer that may be relayed.
-pub(crate) struct Failed {
-    /// The upstream, unless none was reached.
+/// The reason why an attempt gave no response that may be relayed.
+pub(crate) struct AttemptError {
+    /// The upstream; none if the attempt was assigned to none.
     pub(crate) upstream: Option<Name>,
     /// Whether the request may have run.
     pub(crate) ran: Ran,
-    /// The cause in words.
+    /// The cause, as text.
     pub(crate) cause: String,
-    /// Whether the attempt reached an upstream, which retries may burden.
+    /// Whether the attempt reached an upstream, so that a retry adds load.
     pub(crate) reached: bool,
-    /// Whether the upstream is to be left alone for a while.
+    /// Whether the upstream is considered unhealthy for a while.
     pub(crate) unhealthy: bool,
-    /// The upstream's own error, relayed when nothing better comes.
-    pub(crate) answer: Option<Box<UpstreamAnswer>>,
+    /// The upstream's error response, relayed if no other attempt succeeds.
+    pub(crate) response: Option<Box<UpstreamResponse>>,
 }
 
-impl Failed {
-    pub(crate) fn unsent<T>(cause: T) -> Self
+impl AttemptError {
+    pub(crate) fn not_sent<T>(cause: T) -> Self
     where
         T: Into<String>,
     {
@@ -55,7 +57,7 @@
             cause: cause.into(),
             reached: false,
             unhealthy: true,
-            answer: None,
+            response: None,
         }
     }
 
@@ -66,7 +68,7 @@
         Self {
             ran: Ran::Unknown,
             reached: true,
-            ..Self::unsent(cause)
+            ..Self::not_sent(cause)
         }
     }
 
@@ -76,76 +78,86 @@
     }
 }
 
-/// An answer that belongs to the attempt and has begun.
-pub(crate) struct UpstreamAnswer {
+/// A response that has begun and belongs to its attempt.
+pub(crate) struct UpstreamResponse {
     pub(crate) parts: Parts,
-    /// What was read of the body.
-    pub(crate) held: VecDeque<Bytes>,
-    /// The rest of the body; none when all of it is held.
+    /// The part of the body that was already read.
+    pub(crate) buffered: VecDeque<Bytes>,
+    /// The rest of the body; none if all of it is buffered.
     pub(crate) body: Option<ClientBody>,
     /// The identifier of the attempt.
     pub(crate) attempt: String,
 }
 
-/// Where a stream goes on that broke off.
+/// The position from which an interrupted stream is resumed.
 #[derive(Clone, Debug)]
 pub(crate) struct ResumePoint {
     /// The attempt that began the stream.
     pub(crate) attempt: String,
-    /// The events that the caller has.
+    /// The number of events that the caller has received.
     pub(crate) offset: u64,
 }
 
-/// What every attempt of one request sends.
+/// The content that all attempts of one request have in common.
 #[derive(Debug)]
-pub(crate) struct Template {
+pub(crate) struct RequestTemplate {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
     nonce: String,
-    pub(crate) request: Name,
-    pub(crate) work: DispatchRequest,
+    pub(crate) request_id: Name,
+    pub(crate) dispatch_request: DispatchRequest,
     pub(crate) repeatable: bool,
     pub(crate) resumable: bool,
     pub(crate) stream: bool,
-    /// How long a resumed stream may wait for an upstream.
-    pub(crate) patience: Duration,
+    /// The longest time that a resumed stream waits for an upstream.
+    pub(crate) max_wait: Duration,
 }
 
-impl Template {
+impl RequestTemplate {
     pub(crate) fn new(exchange: &Exchange) -> Self {
         let mut headers = exchange.headers.clone();
         remove_hop_headers(&mut headers);
-        remove_own_headers(&mut headers);
+        remove_internal_headers(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
-        mark(&mut headers, &exchange.request);
+        set_header(&mut headers, &exchange.request_id);
         Self {
             method: exchange.method.clone(),
             uri: exchange.path.parse().unwrap_or_default(),
             headers,
             body: exchange.body.clone(),
             nonce: exchange.nonce.as_str().to_owned(),
-            request: exchange.request.clone(),
-            work: work(exchange),
+            request_id: exchange.request_id.clone(),
+            dispatch_request: dispatch_request(exchange),
             repeatable: exchange.route.repeatable,
             resumable: exchange.route.resumable && exchange.stream,
             stream: exchange.stream,
-            patience: Duration::from_millis(exchange.route.deadline),
+            max_wait: Duration::from_millis(exchange.route.deadline),
         }
     }
 
-    /// Returns the work of the next attempt.
-    pub(crate) fn work(&self, id: u64, deadline: Time, avoid: Vec<Name>) -> DispatchRequest {
+    /// Returns the dispatch request of the next attempt.
+    pub(crate) fn dispatch_request(
+        &self,
+        id: u64,
+        deadline: Time,
+        avoid: Vec<Name>,
+    ) -> DispatchRequest {
         DispatchRequest {
             id,
             deadline,
             avoid,
-            ..self.work.clone()
+            ..self.dispatch_request.clone()
         }
     }
 
-    fn build(&self, attempt: &str, left: Duration, point: Option<&ResumePoint>) -> Request<Body> {
+    fn build(
+        &self,
+        attempt: &str,
+        remaining: Duration,
+        point: Option<&ResumePoint>,
+    ) -> Request<Body> {
         let mut request = Request::new(from_bytes(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -157,7 +169,7 @@
             }
         };
         set(ATTEMPT_HEADER, attempt);
-        set(DEADLINE_HEADER, &left.as_millis().to_string());
+        set(DEADLINE_HEADER, &remaining.as_millis().to_string());
         if let Some(point) = point {
             set(RESUME_ATTEMPT_HEADER, &point.attempt);
             set(RESUME_OFFSET_HEADER, &point.offset.to_string());
@@ -166,81 +178,85 @@
     }
 }
 
-fn work(exchange: &Exchange) -> DispatchRequest {
+fn dispatch_request(exchange: &Exchange) -> DispatchRequest {
     DispatchRequest {
         id: 0,
         customer: exchange.customer_name(),
         weight: exchange.customer.as_ref().map_or(1, |c| c.weight),
         model: exchange.model.clone(),
         adapter: exchange.adapter.clone(),
-        tokens: exchange.prompt_tokens + exchange.answer_tokens,
-        deadline: exchange.latest(),
-        prefix: exchange.prefix,
+        tokens: exchange.prompt_tokens + exchange.output_tokens,
+        deadline: exchange.response_deadline(),
+        prefix: exchange.prefix_hash,
         avoid: Vec::new(),
     }
 }
 
 /// Sends requests to upstreams.
 #[derive(Clone)]
-pub(crate) struct Attempts {
+pub(crate) struct AttemptSender {
     pub(crate) state: Arc<RouterState>,
 }
 
-impl Attempts {
-    /// Sends the request once and waits for its answer to begin.
+impl AttemptSender {
+    /// Sends the request once and waits for the response to begin.
     ///
-    /// An unstreamed answer that may be asked for again is held until it is
-    /// whole, as far as its size and the deadline allow.
+    /// A response that is not streamed and whose request may be repeated is
+    /// buffered until it is complete, if its size and the deadline allow.
     pub(crate) async fn send(
         &self,
-        template: &Template,
+        template: &RequestTemplate,
         assignment: &Assignment,
         number: &str,
         deadline: Time,
         point: Option<&ResumePoint>,
-    ) -> Result<UpstreamAnswer, Failed> {
+    ) -> Result<UpstreamResponse, AttemptError> {
         let attempt = format!("{}-{number}", template.nonce);
-        let left = deadline.since(self.state.now());
+        let remaining = deadline.since(self.state.now());
         let build = || {
-            let mut request = template.build(&attempt, left, point);
+            let mut request = template.build(&attempt, remaining, point);
             assignment.mark(request.headers_mut());
             request
         };
         let address = self.state.translations.translate(assignment.address);
-        let sent = self.exchange(address, template.repeatable, build);
-        let answer = match timeout(left, sent).await {
-            Some(Ok(answer)) => answer,
-            Some(Err(ClientError::NotSent(cause))) => return Err(Failed::unsent(cause)),
+        let sent = self.send_http(address, template.repeatable, build);
+        let response = match timeout(remaining, sent).await {
+            Some(Ok(response)) => response,
+            Some(Err(ClientError::NotSent(cause))) => return Err(AttemptError::not_sent(cause)),
             Some(Err(ClientError::NoAnswer(cause) | ClientError::IdleClosed(cause))) => {
-                return Err(Failed::unknown(cause));
+                return Err(AttemptError::unknown(cause));
             }
-            None => return Err(Failed::unknown("no answer before the deadline")),
+            None => return Err(AttemptError::unknown("no answer before the deadline")),
         };
-        if let Some(problem) = find_mismatch(template, &answer, &attempt, point) {
-            answer.into_body().discard();
-            return Err(Failed::unknown(problem));
+        if let Some(problem) = find_mismatch(template, &response, &attempt, point) {
+            response.into_body().discard();
+            return Err(AttemptError::unknown(problem));
         }
-        if says_not_run(&answer) {
-            return Err(Failed {
+        if reports_not_run(&response) {
+            return Err(AttemptError {
                 reached: true,
                 unhealthy: false,
-                ..Failed::unsent("the upstream did not take the request")
+                ..AttemptError::not_sent("the upstream did not take the request")
             });
         }
-        let answer = self.begin(template, answer, attempt, deadline).await?;
-        if template.repeatable && answer.parts.status.is_server_error() {
-            let cause = format!("the upstream answered {}", answer.parts.status);
-            return Err(Failed {
-                answer: Some(Box::new(answer)),
-                ..Failed::unknown(cause)
+        let response = self
+            .buffer_body(template, response, attempt, deadline)
+            .await?;
+        if template.repeatable && response.parts.status.is_server_error() {
+            let cause = format!("the upstream answered {}", response.parts.status);
+            return Err(AttemptError {
+                response: Some(Box::new(response)),
+                ..AttemptError::unknown(cause)
             });
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Sends the request on a connection that may have been idle only if it may
-    /// be sent again when that one turns out to be closed.
-    async fn exchange<B>(
+    /// Sends the request over HTTP.
+    ///
+    /// A pooled connection may turn out to be closed after it was idle, so it is
+    /// used only for requests that may be repeated.
+    async fn send_http<B>(
         &self,
         address: SocketAddr,
         repeatable: bool,
@@ -255,49 +271,49 @@
         }
         match client.send(address, build()).await {
             Err(ClientError::IdleClosed(_)) => {
-                let again = client.send_anew(address, build()).await;
-                // The first one may have run, whatever became of the second.
-                again.map_err(|e| ClientError::NoAnswer(e.to_string()))
+                let retried = client.send_anew(address, build()).await;
+                // The first request may have run, whatever the result of the second.
+                retried.map_err(|e| ClientError::NoAnswer(e.to_string()))
             }
             result => result,
         }
     }
 
-    /// Reads as much of the body as is wanted before the caller gets any.
-    async fn begin(
+    /// Reads the part of the body that is buffered before any of it is relayed.
+    async fn buffer_body(
         &self,
-        template: &Template,
-        answer: Response<ClientBody>,
+        template: &RequestTemplate,
+        response: Response<ClientBody>,
         attempt: String,
         deadline: Time,
-    ) -> Result<UpstreamAnswer, Failed> {
-        let (parts, mut body) = answer.into_parts();
-        let mut held = VecDeque::new();
+    ) -> Result<UpstreamResponse, AttemptError> {
+        let (parts, mut body) = response.into_parts();
+        let mut buffered = VecDeque::new();
         let mut size = 0;
-        let wanted = match (template.repeatable, template.stream) {
-            (true, false) => HELD_BYTES,
+        let target_bytes = match (template.repeatable, template.stream) {
+            (true, false) => MAX_BUFFERED_BYTES,
             (true, true) => 1,
             (false, _) => 0,
         };
-        while size < wanted && !body.is_end_stream() {
-            let left = deadline.since(self.state.now());
-            match timeout(left, body.frame()).await {
+        while size < target_bytes && !body.is_end_stream() {
+            let remaining = deadline.since(self.state.now());
+            match timeout(remaining, body.frame()).await {
                 Some(Some(Ok(frame))) => {
-                    if let Ok(part) = frame.into_data() {
-                        size += part.len();
-                        held.push_back(part);
+                    if let Ok(chunk) = frame.into_data() {
+                        size += chunk.len();
+                        buffered.push_back(chunk);
                     }
                 }
-                Some(Some(Err(error))) => return Err(Failed::unknown(error.to_string())),
+                Some(Some(Err(error))) => return Err(AttemptError::unknown(error.to_string())),
                 Some(None) => break,
                 None if size > 0 => break,
-                None => return Err(Failed::unknown("no answer before the deadline")),
+                None => return Err(AttemptError::unknown("no answer before the deadline")),
             }
         }
         let body = (!body.is_end_stream()).then_some(body);
-        Ok(UpstreamAnswer {
+        Ok(UpstreamResponse {
             parts,
-            held,
+            buffered,
             body,
             attempt,
         })
@@ -305,43 +321,43 @@
 }
 
 fn find_mismatch(
-    template: &Template,
-    answer: &Response<ClientBody>,
+    template: &RequestTemplate,
+    response: &Response<ClientBody>,
     attempt: &str,
     point: Option<&ResumePoint>,
 ) -> Option<&'static str> {
-    let headers = answer.headers();
+    let headers = response.headers();
     let echoed = headers.get(ATTEMPT_HEADER).map(HeaderValue::as_bytes);
     if echoed != Some(attempt.as_bytes()) {
         return Some("the answer belongs to another request");
     }
-    if !is_framed(template, answer) {
+    if !is_delimited(template, response) {
         return Some("the answer does not say where it ends");
     }
     let point = point?;
     let offset = headers.get(RESUME_OFFSET_HEADER);
     let offset = offset.and_then(|v| v.to_str().ok()?.parse().ok());
-    if offset != Some(point.offset) || answer.status() != StatusCode::OK {
+    if offset != Some(point.offset) || response.status() != StatusCode::OK {
         return Some("the upstream did not resume the stream");
     }
     None
 }
 
-/// Reports whether a cut answer could be told from a whole one.
-fn is_framed(template: &Template, answer: &Response<ClientBody>) -> bool {
-    let status = answer.status();
+/// Reports whether a truncated response can be told from a complete one.
+fn is_delimited(template: &RequestTemplate, response: &Response<ClientBody>) -> bool {
+    let status = response.status();
     let is_empty = template.method == Method::HEAD
         || status.is_informational()
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
-    let headers = answer.headers();
+    let headers = response.headers();
     is_empty
         || headers.contains_key(header::CONTENT_LENGTH)
         || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-fn says_not_run(answer: &Response<ClientBody>) -> bool {
-    let ran = answer.headers().get(RAN_HEADER);
+fn reports_not_run(response: &Response<ClientBody>) -> bool {
+    let ran = response.headers().get(RAN_HEADER);
     let not_run = ran.is_some_and(|v| v == Ran::No.as_str());
-    not_run && answer.status() == StatusCode::SERVICE_UNAVAILABLE
+    not_run && response.status() == StatusCode::SERVICE_UNAVAILABLE
 }
--- a/crates/sequoiawing_router/src/chain.rs
+++ b/crates/sequoiawing_router/src/chain.rs
@@ -3,20 +3,22 @@
 use sequoiawing_http::Body;
 use std::{fmt, future::Future, pin::Pin, sync::Arc};
 
-/// What a filter returns: an upstream's answer or a refusal.
-pub type Answer<'a> = Pin<Box<dyn Future<Output = Result<Response<Body>, Refused>> + Send + 'a>>;
+/// The future that a filter returns: an upstream's response or a refusal.
+pub type FilterFuture<'a> =
+    Pin<Box<dyn Future<Output = Result<Response<Body>, Refused>> + Send + 'a>>;
 
-/// One step of the way between callers and upstreams, for requests that are
-/// kept as an `E`.
+/// One step in the processing of a request between callers and upstreams.
+///
+/// `E` is the type that holds the state of a request.
 pub trait Filter<E = Exchange>: Send + Sync {
-    /// Returns the name under which the filter stands in the state dump.
+    /// Returns the name of the filter in the state dump.
     fn name(&self) -> &'static str;
 
-    /// Answers the request, or changes it and runs the rest of the chain.
-    fn handle<'a>(&'a self, exchange: &'a mut E, next: Next<'a, E>) -> Answer<'a>;
+    /// Responds to the request, or modifies it and runs the rest of the chain.
+    fn handle<'a>(&'a self, exchange: &'a mut E, next: Next<'a, E>) -> FilterFuture<'a>;
 }
 
-/// The filters in the order in which a request passes them.
+/// The filters of a router, in the order in which requests pass them.
 pub struct Chain<E = Exchange> {
     filters: Vec<Arc<dyn Filter<E>>>,
 }
@@ -44,11 +46,12 @@
         self.filters.push(Arc::new(filter));
     }
 
-    /// Adds a filter in front of the one of that name, or at the end.
+    /// Adds a filter before the one with the given name, or at the end if there is
+    /// none.
     pub(crate) fn insert_before(&mut self, name: &str, filter: Arc<dyn Filter<E>>) {
-        let place = self.filters.iter().position(|f| f.name() == name);
+        let index = self.filters.iter().position(|f| f.name() == name);
         self.filters
-            .insert(place.unwrap_or(self.filters.len()), filter);
+            .insert(index.unwrap_or(self.filters.len()), filter);
     }
 
     /// Returns the names of the filters in order.
@@ -89,15 +92,15 @@
 impl<E> Copy for Next<'_, E> {}
 
 impl<'a, E> Next<'a, E> {
-    /// Returns the rest of the chain, for a request that goes on even when its
-    /// caller leaves.
+    /// Returns the rest of the chain, for a request that continues even if its
+    /// caller disconnects.
     pub(crate) fn into_chain(self) -> Chain<E> {
         let filters = self.filters.to_vec();
         Chain { filters }
     }
 
     /// Runs the rest of the chain.
-    pub fn run(self, exchange: &'a mut E) -> Answer<'a> {
+    pub fn run(self, exchange: &'a mut E) -> FilterFuture<'a> {
         let Some((first, rest)) = self.filters.split_first() else {
             let refused = Refused::new(crate::Code::NoUpstream, "no filter answers requests");
             return Box::pin(async { Err(refused) });
--- a/crates/sequoiawing_router/src/claim/tests.rs
+++ b/crates/sequoiawing_router/src/claim/tests.rs
@@ -3,7 +3,7 @@
 use sequoiawing_tables::{Claim, ClaimState};
 use sequoiawing_types::Ran;
 
-fn held(state: ClaimState) -> Claim {
+fn existing_claim(state: ClaimState) -> Claim {
     Claim {
         attempt: "attempt".to_owned(),
         digest: "digest".to_owned(),
@@ -14,8 +14,9 @@
 }
 
 fn refusal(state: ClaimState, digest: &str, now: u64) -> (Code, Ran, bool) {
-    let refused = replay(held(state), digest, now).expect_err("it is refused");
-    (refused.code, refused.ran, refused.retry.is_some())
+    let refused = replay(existing_claim(state), digest, now)
+        .expect_err("the repeated call should be refused");
+    (refused.code, refused.ran, refused.retry_after.is_some())
 }
 
 macro_rules! cases {
@@ -30,15 +31,15 @@
 }
 
 cases! {
-    another_request_did_not_run:
+    a_different_request_with_the_same_key_did_not_run:
         ClaimState::Open, "other", 50 => (Code::KeyReused, Ran::No, false);
     an_open_call_is_in_progress:
         ClaimState::Open, "digest", 99 => (Code::InProgress, Ran::Unknown, true);
     an_open_call_of_a_dead_host_is_unknown:
         ClaimState::Open, "digest", 100 => (Code::OutcomeUnknown, Ran::Unknown, false);
-    a_call_without_an_answer_is_unknown:
+    a_call_with_an_unknown_end_is_unknown:
         ClaimState::Ended(Ran::Unknown), "digest", 50
             => (Code::OutcomeUnknown, Ran::Unknown, false);
-    a_call_with_a_large_answer_ran:
+    a_call_with_a_large_response_ran:
         ClaimState::Ended(Ran::Yes), "digest", 50 => (Code::AnswerNotKept, Ran::Yes, false);
 }
--- a/crates/sequoiawing_router/src/controllers/keys.rs
+++ b/crates/sequoiawing_router/src/controllers/keys.rs
@@ -1,4 +1,4 @@
-use crate::{Controller, RouterState, key_grace::wall_millis, peers::PeerLink};
+use crate::{Controller, RouterState, key_grace::unix_millis, peers::PeerLink};
 use futures_lite::FutureExt;
 use sequoiawing_runtime::{Shutdown, sleep, spawn};
 use sequoiawing_tables::{Change, Command, KeyId};
@@ -65,7 +65,7 @@
 
     fn load(&mut self) {
         let Some(file) = self.file() else {
-            self.state.grace.confirm(wall_millis());
+            self.state.grace.confirm(unix_millis());
             return;
         };
         match read_keys(&file) {
@@ -75,7 +75,7 @@
                 self.saved = saved;
             }
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
-                self.state.grace.confirm(wall_millis());
+                self.state.grace.confirm(unix_millis());
             }
             Err(error) => {
                 let file = file.display();
@@ -112,7 +112,7 @@
     }
 
     fn save(&mut self, all: &BTreeSet<KeyId>) {
-        let confirmed = self.state.grace.confirmed();
+        let confirmed = self.state.grace.last_confirmed();
         let is_old = confirmed >= self.saved.confirmed + SAVE_INTERVAL;
         if all.len() == self.saved.withdrawn.len() && !is_old {
             return;
--- a/crates/sequoiawing_router/src/credential.rs
+++ b/crates/sequoiawing_router/src/credential.rs
@@ -1,4 +1,4 @@
-//! Takes keys out of requests, so that no upstream sees one.
+//! Removes keys from requests, so that no upstream sees one.
 
 #[cfg(test)]
 mod tests;
@@ -12,7 +12,7 @@
 use percent_encoding::percent_decode_str;
 use sequoiawing_tables::{BearerKey, Tables};
 
-/// The headers that are credentials whatever they hold.
+/// The headers that are removed as credentials whatever their value.
 const CREDENTIAL_HEADERS: [HeaderName; 4] = [
     AUTHORIZATION,
     PROXY_AUTHORIZATION,
@@ -20,63 +20,65 @@
     HeaderName::from_static("api-key"),
 ];
 
-/// The query parameter in which a key may come.
+/// The query parameter that may contain a key.
 const KEY_PARAMETER: &str = "api_key";
 
-/// The prefix by which keys are recognised anywhere else.
+/// The prefix by which keys are recognised in other places.
 const KEY_PREFIX: &str = "swk_";
 
-/// Takes all credentials out of the headers and the query, and returns the one
-/// that the request shows.
+/// Removes all credentials from the headers and the query, and returns the one
+/// that the request presents.
 ///
 /// # Errors
 ///
-/// Refuses a request whose path names a key, since it cannot be taken out.
-pub(crate) fn take_credential(
+/// Refuses a request whose path contains a key, since it cannot be removed.
+pub(crate) fn extract_credential(
     headers: &mut HeaderMap,
     path: &mut String,
 ) -> Result<Option<String>, Refused> {
-    let from_headers = find_shown(headers);
+    let from_headers = header_credential(headers);
     strip_headers(headers);
-    let (bare, query) = match path.split_once('?') {
-        Some((bare, query)) => (bare.to_owned(), Some(query.to_owned())),
+    let (bare_path, query) = match path.split_once('?') {
+        Some((bare_path, query)) => (bare_path.to_owned(), Some(query.to_owned())),
         None => (path.clone(), None),
     };
-    if holds_prefix(&bare) {
+    if contains_key_prefix(&bare_path) {
         return Err(Refused::new(Code::BadRequest, "the path names a key"));
     }
     let Some(query) = query else {
         return Ok(from_headers);
     };
-    let is_secret = |pair: &&str| pair.starts_with(KEY_PARAMETER) || holds_prefix(pair);
+    let is_secret = |pair: &&str| pair.starts_with(KEY_PARAMETER) || contains_key_prefix(pair);
     let kept: Vec<&str> = query.split('&').filter(|p| !is_secret(p)).collect();
-    let from_query = query.split('&').find_map(shown_in_pair);
+    let from_query = query.split('&').find_map(query_credential);
     *path = if kept.is_empty() {
-        bare
+        bare_path
     } else {
-        format!("{bare}?{}", kept.join("&"))
+        format!("{bare_path}?{}", kept.join("&"))
     };
     Ok(from_headers.or(from_query))
 }
 
-/// Reports whether a body holds a key that is in force.
-pub(crate) fn holds_key(tables: &Tables, body: &[u8]) -> bool {
-    let is_part = |b: &u8| b.is_ascii_alphanumeric() || *b == b'_';
+/// Reports whether a body contains an active key.
+pub(crate) fn contains_active_key(tables: &Tables, body: &[u8]) -> bool {
+    let is_key_byte = |b: &u8| b.is_ascii_alphanumeric() || *b == b'_';
     memmem::find_iter(body, KEY_PREFIX).any(|start| {
         let rest = &body[start..];
-        let end = rest.iter().position(|b| !is_part(b));
+        let end = rest.iter().position(|b| !is_key_byte(b));
         let text = str::from_utf8(&rest[..end.unwrap_or(rest.len())]);
         let key = text.ok().and_then(BearerKey::parse);
         key.is_some_and(|k| tables.keys.contains_key(&k.id))
     })
 }
 
-fn find_shown(headers: &HeaderMap) -> Option<String> {
+fn header_credential(headers: &HeaderMap) -> Option<String> {
     let text = |value: &HeaderValue| value.to_str().ok().map(str::to_owned);
     if let Some(value) = headers.get(AUTHORIZATION) {
-        let shown = text(value).unwrap_or_default();
-        let bearer = shown.get(..7).filter(|s| s.eq_ignore_ascii_case("bearer "));
-        return Some(bearer.map_or(String::new(), |_| shown[7..].trim().to_owned()));
+        let credential = text(value).unwrap_or_default();
+        let bearer = credential
+            .get(..7)
+            .filter(|s| s.eq_ignore_ascii_case("bearer "));
+        return Some(bearer.map_or(String::new(), |_| credential[7..].trim().to_owned()));
     }
     let others = ["x-api-key", "api-key"];
     others
@@ -85,23 +87,24 @@
 }
 
 fn strip_headers(headers: &mut HeaderMap) {
-    let holds = |v: &HeaderValue| memmem::find(v.as_bytes(), KEY_PREFIX.as_bytes()).is_some();
-    let named: Vec<HeaderName> = headers
+    let contains_key =
+        |v: &HeaderValue| memmem::find(v.as_bytes(), KEY_PREFIX.as_bytes()).is_some();
+    let key_headers: Vec<HeaderName> = headers
         .iter()
-        .filter(|(_, value)| holds(value))
+        .filter(|(_, value)| contains_key(value))
         .map(|(name, _)| name.clone())
         .collect();
-    for name in named.iter().chain(&CREDENTIAL_HEADERS) {
+    for name in key_headers.iter().chain(&CREDENTIAL_HEADERS) {
         headers.remove(name);
     }
 }
 
-fn shown_in_pair(pair: &str) -> Option<String> {
+fn query_credential(pair: &str) -> Option<String> {
     let value = pair.strip_prefix(KEY_PARAMETER)?.strip_prefix('=')?;
     Some(percent_decode_str(value).decode_utf8_lossy().into_owned())
 }
 
-fn holds_prefix(text: &str) -> bool {
+fn contains_key_prefix(text: &str) -> bool {
     let decoded: Vec<u8> = percent_decode_str(text).collect();
     memmem::find(&decoded, KEY_PREFIX.as_bytes()).is_some()
 }
--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -2,7 +2,7 @@
     Chain, Code, Exchange, Plugin, Refused, RouterBuilder, RouterSettings, RouterState,
     StandardFilters,
     controllers::StandardControllers,
-    open::{OpenBody, OpenRequest},
+    open_requests::{OpenRequestGuard, TrackedBody},
     request_id,
 };
 use http_body_util::{BodyExt, Limited};
@@ -171,7 +171,7 @@
         let limit = Duration::from_millis(self.state.settings.drain);
         let drained = async {
             self.callers_task.await;
-            self.state.open.wait_none().await;
+            self.state.open.wait_until_empty().await;
         };
         timeout(limit, drained).await;
         let abandoned = self.state.open.list();
@@ -213,20 +213,20 @@
             return self.health();
         }
         let mut exchange = Exchange::new(self.state.now(), request);
-        let request = exchange.request.clone();
-        let open = OpenRequest::new(self.state.clone(), request.clone());
+        let request = exchange.request_id.clone();
+        let open = OpenRequestGuard::new(self.state.clone(), request.clone());
         let answered = self.chain.run(&mut exchange).await;
         let mut answer = answered.unwrap_or_else(|refused| {
             log::debug!(target: "router", "Request {request} was refused: {}.", refused.message);
             refused.into_response()
         });
-        request_id::mark(answer.headers_mut(), &request);
-        answer.map(|body| OpenBody::new(body, open).boxed_unsync())
+        request_id::set_header(answer.headers_mut(), &request);
+        answer.map(|body| TrackedBody::new(body, open).boxed_unsync())
     }
 
     fn busy_answer(&self) -> Vec<u8> {
         let refused = Refused::new(Code::Overloaded, "too many connections are open");
-        refused.with_retry(BUSY_RETRY).into_bytes()
+        refused.with_retry_after(BUSY_RETRY).into_bytes()
     }
 
     fn unreadable_answer(&self, status: StatusCode) -> Vec<u8> {
--- a/crates/sequoiawing_router/src/filters/authenticate.rs
+++ b/crates/sequoiawing_router/src/filters/authenticate.rs
@@ -1,11 +1,13 @@
-use crate::{Answer, Credential, Exchange, Filter, Next, RouterState, credential::take_credential};
+use crate::{
+    Credential, Exchange, Filter, FilterFuture, Next, RouterState, credential::extract_credential,
+};
 use sequoiawing_tables::BearerKey;
 use std::sync::Arc;
 
-/// Finds the customer whose key came with a request, and takes the key out so
-/// that no upstream sees it.
+/// Identifies the customer by the request's key, and removes the key so that
+/// no upstream sees it.
 ///
-/// Whether the request needs a key is decided by its route.
+/// The route decides whether the request needs a key.
 pub(crate) struct Authenticate {
     state: Arc<RouterState>,
 }
@@ -15,21 +17,21 @@
         Self { state }
     }
 
-    fn identify(&self, shown: &str) -> Credential {
-        let Some(shown) = BearerKey::parse(shown) else {
+    fn identify(&self, presented: &str) -> Credential {
+        let Some(presented) = BearerKey::parse(presented) else {
             return Credential::Invalid;
         };
         let tables = self.state.tables.get();
-        let withdrawn = self.state.withdrawn.get().contains(&shown.id);
-        let key = tables.keys.get(&shown.id);
-        let Some(key) = key.filter(|k| !withdrawn && k.matches_secret(&shown.secret)) else {
+        let withdrawn = self.state.withdrawn.get().contains(&presented.id);
+        let key = tables.keys.get(&presented.id);
+        let Some(key) = key.filter(|k| !withdrawn && k.matches_secret(&presented.secret)) else {
             return Credential::Invalid;
         };
         if !self.state.confirms_keys() {
             return Credential::Unconfirmed;
         }
         let customer = tables.customers.get(&key.customer).cloned();
-        customer.map_or(Credential::Invalid, |c| Credential::Valid(shown.id, c))
+        customer.map_or(Credential::Invalid, |c| Credential::Valid(presented.id, c))
     }
 }
 
@@ -38,11 +40,11 @@
         "authenticate"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(async move {
-            let shown = take_credential(&mut exchange.headers, &mut exchange.path)?;
-            if let Some(shown) = shown {
-                exchange.credential = self.identify(&shown);
+            let presented = extract_credential(&mut exchange.headers, &mut exchange.path)?;
+            if let Some(presented) = presented {
+                exchange.credential = self.identify(&presented);
             }
             next.run(exchange).await
         })
--- a/crates/sequoiawing_router/src/filters/deadline.rs
+++ b/crates/sequoiawing_router/src/filters/deadline.rs
@@ -1,25 +1,25 @@
-use crate::{Answer, Code, Exchange, Filter, Next, Refused, headers::DEADLINE_HEADER};
+use crate::{Code, Exchange, Filter, FilterFuture, Next, Refused, headers::DEADLINE_HEADER};
 use std::time::Duration;
 
-/// The longest deadline that a caller may name, in milliseconds.
-const MAX_DEADLINE: u64 = 60 * 60 * 1_000;
+/// The longest deadline that a caller may request, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 60 * 60 * 1_000;
 
-/// Reads the caller's deadline.
+/// Sets the request's deadline from the caller's header.
 pub(crate) struct Deadline;
 
 impl Deadline {
-    fn read(exchange: &Exchange) -> Result<Option<Duration>, Refused> {
+    fn parse(exchange: &Exchange) -> Result<Option<Duration>, Refused> {
         let Some(value) = exchange.headers.get(DEADLINE_HEADER) else {
             return Ok(None);
         };
         let parsed = value.to_str().ok().and_then(|v| v.trim().parse().ok());
         match parsed {
-            Some(millis) if (1..=MAX_DEADLINE).contains(&millis) => {
+            Some(millis) if (1..=MAX_DEADLINE_MS).contains(&millis) => {
                 Ok(Some(Duration::from_millis(millis)))
             }
             _ => {
                 let problem =
-                    format!("{DEADLINE_HEADER} must be a whole number from 1 to {MAX_DEADLINE}");
+                    format!("{DEADLINE_HEADER} must be a whole number from 1 to {MAX_DEADLINE_MS}");
                 Err(Refused::new(Code::BadRequest, problem))
             }
         }
@@ -31,10 +31,10 @@
         "deadline"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(async move {
-            if let Some(span) = Self::read(exchange)? {
-                exchange.deadline = Some(exchange.arrival + span);
+            if let Some(timeout) = Self::parse(exchange)? {
+                exchange.deadline = Some(exchange.arrival + timeout);
             }
             next.run(exchange).await
         })
--- a/crates/sequoiawing_router/src/filters/forward.rs
+++ b/crates/sequoiawing_router/src/filters/forward.rs
@@ -1,8 +1,8 @@
 use crate::{
-    Answer, Code, Exchange, Filter, Next, Refused, RouterState,
-    attempt::{Attempts, Failed, Template, UpstreamAnswer},
-    first_ok::{First, first_ok},
-    relay::{RelayedBody, relay_held},
+    Code, Exchange, Filter, FilterFuture, Next, Refused, RouterState,
+    attempt::{AttemptError, AttemptSender, RequestTemplate, UpstreamResponse},
+    first_ok::{Either, first_ok},
+    relay::{RelayedBody, relay_error_response},
     shard::{Assignment, PoolShard},
 };
 use futures_lite::FutureExt;
@@ -13,126 +13,139 @@
 use sequoiawing_types::{Name, Ran, Time};
 use std::{pin::pin, sync::Arc, time::Duration};
 
-/// The most attempts of one request.
+/// The maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// When a caller may ask again after an upstream failed.
-const FAILURE_RETRY: Duration = Duration::from_secs(1);
+/// The delay after which a caller may retry when an upstream failed.
+const FAILURE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Waits for an upstream, sends the request and relays the answer.
+/// Waits for an upstream, sends the request and relays the response.
 ///
-/// A request whose attempt provably did nothing is sent again, and one that
-/// may be repeated also after any other failure; see
+/// A request is retried if its failed attempt is known not to have run. On
+/// repeatable routes it is also retried after any other failure; see
 /// [docs/design/retries.md](../../../../docs/design/retries.md).
 pub(crate) struct Forward {
-    attempts: Attempts,
+    sender: AttemptSender,
 }
 
-/// How far the attempts of one request have come.
+/// The attempts of one request so far.
 #[derive(Default)]
-struct Tries {
+struct AttemptHistory {
     started: u32,
-    failed: u32,
+    failures: u32,
     avoid: Vec<Name>,
     ran: Ran,
 }
 
-impl Tries {
-    /// Draws the number of the next attempt.
+impl AttemptHistory {
+    /// Counts a new attempt and returns its number.
     fn start(&mut self) -> u32 {
         self.started += 1;
         self.started - 1
     }
 
-    /// Returns what is known while an attempt may still run.
-    fn ran_by_now(&self) -> Ran {
-        if self.started > self.failed {
+    /// Returns whether the request ran, or unknown while an attempt is in progress.
+    fn ran_so_far(&self) -> Ran {
+        if self.started > self.failures {
             return Ran::Unknown;
         }
         self.ran
     }
 
-    /// Notes a failed attempt.
-    fn note(&mut self, failed: &Failed) {
-        self.failed += 1;
-        self.avoid.extend(failed.upstream.clone());
+    fn record_failure(&mut self, error: &AttemptError) {
+        self.failures += 1;
+        self.avoid.extend(error.upstream.clone());
         if self.ran == Ran::No {
-            self.ran = failed.ran;
+            self.ran = error.ran;
         }
     }
 }
 
 impl Forward {
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
-        let attempts = Attempts { state };
-        Self { attempts }
+        let sender = AttemptSender { state };
+        Self { sender }
     }
 
-    /// Forwards a request until its key is withdrawn.
+    /// Forwards a request, and refuses it if its key is withdrawn meanwhile.
     async fn forward(&self, exchange: &Exchange) -> Result<Response<Body>, Refused> {
         let Some(key) = exchange.key.clone() else {
-            return self.run(exchange, &mut Tries::default()).await;
+            return self.run(exchange, &mut AttemptHistory::default()).await;
         };
-        let mut tries = Tries::default();
+        let mut history = AttemptHistory::default();
         let withdrawn = async {
-            self.attempts.state.wait_withdrawn(key).await;
+            self.sender.state.wait_withdrawn(key).await;
             None
         };
-        let answered = async { Some(self.run(exchange, &mut tries).await) };
-        if let Some(result) = answered.or(withdrawn).await {
+        let forwarded = async { Some(self.run(exchange, &mut history).await) };
+        if let Some(result) = forwarded.or(withdrawn).await {
             return result;
         }
         let problem = "the key was withdrawn";
-        Err(Refused::new(Code::Unauthorized, problem).with_ran(tries.ran_by_now()))
+        Err(Refused::new(Code::Unauthorized, problem).with_ran(history.ran_so_far()))
     }
 
-    async fn run(&self, exchange: &Exchange, tries: &mut Tries) -> Result<Response<Body>, Refused> {
-        let state = &self.attempts.state;
+    async fn run(
+        &self,
+        exchange: &Exchange,
+        history: &mut AttemptHistory,
+    ) -> Result<Response<Body>, Refused> {
+        let state = &self.sender.state;
         let shard = state.shard(&exchange.route.pool);
-        let template = Arc::new(Template::new(exchange));
-        let race = Race {
+        let template = Arc::new(RequestTemplate::new(exchange));
+        let hedged = HedgedAttempt {
             forward: self,
             exchange,
             template: &template,
             shard: &shard,
-            deadline: exchange.latest(),
+            deadline: exchange.response_deadline(),
         };
-        state.note_attempt(&template.work.customer, &exchange.route.pool);
+        state.note_attempt(&template.dispatch_request.customer, &exchange.route.pool);
         loop {
-            let work = template.work(state.next_request(), race.deadline, tries.avoid.clone());
-            let waited = shard.wait(work).await;
-            let assignment = waited.map_err(|(why, retry)| refuse(&why, retry, tries.ran))?;
-            let failed = match race.run(assignment, tries).await {
-                Ok((answer, assignment)) => {
+            let dispatch_request = template.dispatch_request(
+                state.next_request(),
+                hedged.deadline,
+                history.avoid.clone(),
+            );
+            let waited = shard.wait(dispatch_request).await;
+            let assignment = waited
+                .map_err(|(refusal, retry_after)| refuse(&refusal, retry_after, history.ran))?;
+            let error = match hedged.run(assignment, history).await {
+                Ok((response, assignment)) => {
                     let (template, shard) = (template.clone(), shard.clone());
-                    return Ok(self.relay(exchange, template, shard, answer, assignment));
+                    return Ok(self.relay(exchange, template, shard, response, assignment));
                 }
-                Err(failed) => failed,
+                Err(error) => error,
             };
-            let request = &exchange.request;
-            log::warn!(target: "forward", "An attempt of request {request} failed: {}.", failed.cause);
-            if !self.may_retry(exchange, tries, &failed) {
-                return give_up(exchange, tries, failed);
+            let request_id = &exchange.request_id;
+            log::warn!(target: "forward", "An attempt of request {request_id} failed: {}.", error.cause);
+            if !self.may_retry(exchange, history, &error) {
+                return final_result(exchange, history, error);
             }
         }
     }
 
-    /// Decides whether a failed request is sent again.
+    /// Reports whether a failed request is retried.
     ///
-    /// Attempts that reached no upstream burden none, so they cost nothing of
-    /// the retry budget.
-    fn may_retry(&self, exchange: &Exchange, tries: &Tries, failed: &Failed) -> bool {
-        let is_safe = tries.ran == Ran::No || exchange.route.repeatable;
-        let in_time = exchange.latest() > self.attempts.state.now();
+    /// Attempts that reached no upstream put no load on one, so they are not
+    /// charged to the retry budget.
+    fn may_retry(
+        &self,
+        exchange: &Exchange,
+        history: &AttemptHistory,
+        error: &AttemptError,
+    ) -> bool {
+        let is_safe = history.ran == Ran::No || exchange.route.repeatable;
+        let in_time = exchange.response_deadline() > self.sender.state.now();
         is_safe
             && in_time
-            && tries.started < MAX_ATTEMPTS
-            && (!failed.reached || self.take_retry(exchange))
+            && history.started < MAX_ATTEMPTS
+            && (!error.reached || self.take_retry(exchange))
     }
 
     fn take_retry(&self, exchange: &Exchange) -> bool {
         let customer = exchange.customer_name();
-        self.attempts
+        self.sender
             .state
             .take_retry(&customer, &exchange.route.pool)
     }
@@ -140,121 +153,145 @@
     fn relay(
         &self,
         exchange: &Exchange,
-        template: Arc<Template>,
+        template: Arc<RequestTemplate>,
         shard: Arc<PoolShard>,
-        answer: UpstreamAnswer,
+        response: UpstreamResponse,
         assignment: Assignment,
     ) -> Response<Body> {
         let withdrawn = exchange.key.clone();
-        let withdrawn = withdrawn.map(|key| self.attempts.state.wait_withdrawn(key));
-        let attempts = self.attempts.clone();
-        RelayedBody::relay(attempts, template, shard, answer, assignment, withdrawn)
+        let withdrawn = withdrawn.map(|key| self.sender.state.wait_withdrawn(key));
+        let sender = self.sender.clone();
+        RelayedBody::relay(sender, template, shard, response, assignment, withdrawn)
     }
 }
 
-/// Answers a request that is not sent again.
-fn give_up(exchange: &Exchange, tries: &Tries, failed: Failed) -> Result<Response<Body>, Refused> {
-    if let Some(answer) = failed.answer {
-        return Ok(relay_held(*answer));
+/// Returns the response or refusal for a request that is not retried.
+fn final_result(
+    exchange: &Exchange,
+    history: &AttemptHistory,
+    error: AttemptError,
+) -> Result<Response<Body>, Refused> {
+    if let Some(response) = error.response {
+        return Ok(relay_error_response(*response));
     }
-    let problem = format!("the upstream failed: {}", failed.cause);
-    let refused = Refused::new(Code::UpstreamFailed, problem).with_ran(tries.ran);
-    if tries.ran == Ran::No || exchange.route.repeatable {
-        return Err(refused.with_retry(FAILURE_RETRY));
+    let problem = format!("the upstream failed: {}", error.cause);
+    let refused = Refused::new(Code::UpstreamFailed, problem).with_ran(history.ran);
+    if history.ran == Ran::No || exchange.route.repeatable {
+        return Err(refused.with_retry_after(FAILURE_RETRY_DELAY));
     }
     Err(refused)
 }
 
-/// An attempt that a second one joins when it is slow or its upstream is gone.
-struct Race<'a> {
+/// An attempt that is hedged with a second one when it is slow or its upstream
+/// is gone.
+struct HedgedAttempt<'a> {
     forward: &'a Forward,
     exchange: &'a Exchange,
-    template: &'a Template,
+    template: &'a RequestTemplate,
     shard: &'a Arc<PoolShard>,
     deadline: Time,
 }
 
-type Begun = (UpstreamAnswer, Assignment);
+type StartedResponse = (UpstreamResponse, Assignment);
 
-impl Race<'_> {
-    /// Runs one attempt, and beside it a second one when half of the time has
-    /// passed without an answer; the first answer wins.
+impl HedgedAttempt<'_> {
+    /// Runs one attempt, and a second one concurrently if there is no response
+    /// after half of the remaining time; the first response wins.
     ///
-    /// A frozen upstream is so no worse than a slow one, and a slow one is not
-    /// cut off for a second that might be slower.
-    async fn run(&self, assignment: Assignment, tries: &mut Tries) -> Result<Begun, Failed> {
+    /// A frozen upstream then costs no more than a slow one. The first attempt
+    /// is not cancelled, since the second one may be slower.
+    async fn run(
+        &self,
+        assignment: Assignment,
+        history: &mut AttemptHistory,
+    ) -> Result<StartedResponse, AttemptError> {
         let upstream = assignment.upstream.clone();
         let health = assignment.health();
-        let mut first = Box::pin(self.send(assignment, tries.start()));
-        let doubtful = async {
-            self.wait_doubtful(&upstream).await;
+        let mut first = Box::pin(self.send(assignment, history.start()));
+        let hedge_trigger = async {
+            self.wait_for_hedge_trigger(&upstream).await;
             None
         };
-        let early = async { Some(first.as_mut().await) }.or(doubtful).await;
+        let early = async { Some(first.as_mut().await) }.or(hedge_trigger).await;
         let result = match early {
             Some(result) => result,
-            None if !self.may_hedge(tries) => first.as_mut().await,
+            None if !self.may_hedge(history) => first.as_mut().await,
             None => {
-                let second = pin!(self.hedge(upstream, tries.start()));
+                let second = pin!(self.hedge(upstream, history.start()));
                 match first_ok(first.as_mut(), second).await {
-                    Ok(First::Left(begun)) => Ok(begun),
-                    Ok(First::Right(begun)) => {
+                    Ok(Either::Left(started)) => Ok(started),
+                    Ok(Either::Right(started)) => {
                         health.fail();
-                        Ok(begun)
+                        Ok(started)
                     }
-                    Err((failed, last)) => {
-                        tries.note(&failed);
+                    Err((error, last)) => {
+                        history.record_failure(&error);
                         Err(last)
                     }
                 }
             }
         };
-        result.inspect_err(|failed| tries.note(failed))
+        result.inspect_err(|error| history.record_failure(error))
     }
 
-    async fn send(&self, assignment: Assignment, number: u32) -> Result<Begun, Failed> {
-        let attempts = &self.forward.attempts;
+    async fn send(
+        &self,
+        assignment: Assignment,
+        number: u32,
+    ) -> Result<StartedResponse, AttemptError> {
+        let sender = &self.forward.sender;
         let number = number.to_string();
-        let sent = attempts.send(self.template, &assignment, &number, self.deadline, None);
+        let sent = sender.send(self.template, &assignment, &number, self.deadline, None);
         match sent.await {
-            Ok(answer) => Ok((answer, assignment)),
-            Err(failed) => {
-                if failed.unhealthy {
+            Ok(response) => Ok((response, assignment)),
+            Err(error) => {
+                if error.unhealthy {
                     assignment.health().fail();
                 }
-                Err(failed.with_upstream(assignment.upstream.clone()))
+                Err(error.with_upstream(assignment.upstream.clone()))
             }
         }
     }
 
-    /// Waits until half of the time has passed or the upstream is gone.
-    async fn wait_doubtful(&self, upstream: &Name) {
-        let left = self.deadline.since(self.forward.attempts.state.now());
-        sleep(left / 2).or(self.shard.wait_gone(upstream)).await;
+    /// Waits until half of the remaining time has passed or the upstream is gone.
+    async fn wait_for_hedge_trigger(&self, upstream: &Name) {
+        let remaining = self.deadline.since(self.forward.sender.state.now());
+        sleep(remaining / 2)
+            .or(self.shard.wait_gone(upstream))
+            .await;
     }
 
-    fn may_hedge(&self, tries: &Tries) -> bool {
+    fn may_hedge(&self, history: &AttemptHistory) -> bool {
         self.exchange.route.repeatable
-            && tries.started < MAX_ATTEMPTS
+            && history.started < MAX_ATTEMPTS
             && self.forward.take_retry(self.exchange)
     }
 
-    async fn hedge(&self, slow: Name, number: u32) -> Result<Begun, Failed> {
-        let id = self.forward.attempts.state.next_request();
-        let work = self.template.work(id, self.deadline, vec![slow]);
-        let waited = self.shard.wait(work).await;
-        let assignment = waited.map_err(|_| Failed::unsent("no other upstream was free"))?;
+    async fn hedge(
+        &self,
+        slow_upstream: Name,
+        number: u32,
+    ) -> Result<StartedResponse, AttemptError> {
+        let id = self.forward.sender.state.next_request();
+        let dispatch_request =
+            self.template
+                .dispatch_request(id, self.deadline, vec![slow_upstream]);
+        let waited = self.shard.wait(dispatch_request).await;
+        let assignment =
+            waited.map_err(|_| AttemptError::not_sent("no other upstream was free"))?;
         self.send(assignment, number).await
     }
 }
 
-fn refuse(reason: &Refusal, retry: Duration, ran: Ran) -> Refused {
+fn refuse(reason: &Refusal, retry_after: Duration, ran: Ran) -> Refused {
     let (code, message) = match reason {
         Refusal::TooLate => (Code::TooLate, "no upstream can start before the deadline"),
         Refusal::QueueFull => (Code::Overloaded, "too many requests wait"),
         Refusal::NoUpstream => (Code::NoUpstream, "no upstream can serve the request"),
     };
-    Refused::new(code, message).with_retry(retry).with_ran(ran)
+    Refused::new(code, message)
+        .with_retry_after(retry_after)
+        .with_ran(ran)
 }
 
 impl Filter for Forward {
@@ -262,7 +299,7 @@
         "forward"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, _next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, _next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(self.forward(exchange))
     }
 }
--- a/crates/sequoiawing_router/src/filters/idempotency.rs
+++ b/crates/sequoiawing_router/src/filters/idempotency.rs
@@ -1,7 +1,7 @@
 use crate::{
-    Answer, Chain, Code, Exchange, Filter, Next, Refused, RouterState,
-    claim::{claim_id, new_claim, read_key, replay, wall_clock},
-    open::OpenRequest,
+    Chain, Code, Exchange, Filter, FilterFuture, Next, Refused, RouterState,
+    claim::{claim_id, new_claim, read_key, replay, unix_seconds},
+    open_requests::OpenRequestGuard,
 };
 use bytes::{Bytes, BytesMut};
 use futures_lite::stream;
@@ -13,28 +13,29 @@
 use sequoiawing_types::Ran;
 use std::{sync::Arc, time::Duration};
 
-/// The largest answer that is stored for resends, in bytes.
-const STORED_BYTES: usize = 64 * 1024;
+/// The largest response body that is stored for replay, in bytes.
+const MAX_STORED_BYTES: usize = 64 * 1024;
 
-/// How long claiming a call may take.
-const CLAIM_LIMIT: Duration = Duration::from_secs(2);
+/// The longest time that claiming a call may take.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the caller waits until the end of its call is recorded.
-const SETTLE_LIMIT: Duration = Duration::from_secs(1);
+/// The longest time that the caller waits for the outcome of its call to be
+/// recorded.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often recording the end of a call is tried again.
-const SETTLE_PAUSE: Duration = Duration::from_secs(1);
+/// The delay between attempts to record the outcome of a call.
+const SETTLE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How many times recording the end of a call is tried.
-const SETTLE_TRIES: u32 = 120;
+/// The maximum number of later attempts to record the outcome of a call.
+const MAX_SETTLE_RETRIES: u32 = 120;
 
-/// When a call that could not be claimed may be sent again.
-const CLAIM_RETRY: Duration = Duration::from_secs(1);
+/// The delay after which a call that could not be claimed may be retried.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Runs calls with an idempotency key at most once on all hosts together.
+/// Runs calls with an idempotency key at most once across all hosts.
 ///
-/// The claim is committed in the log before anything is sent, and the end of
-/// the call is recorded before the caller learns it; see
+/// The claim is committed to the replicated log before anything is sent, and
+/// the outcome is recorded before the caller receives it; see
 /// [docs/design/idempotency.md](../../../../docs/design/idempotency.md).
 pub(crate) struct Idempotency {
     state: Arc<RouterState>,
@@ -57,38 +58,38 @@
             return next.run(exchange).await;
         };
         let state = &self.state;
-        let now = wall_clock();
-        let left = exchange.latest().since(state.now());
-        let call = Call {
+        let now = unix_seconds();
+        let remaining = exchange.response_deadline().since(state.now());
+        let call = ClaimedCall {
             state: state.clone(),
             id: claim_id(exchange, key),
-            claim: new_claim(exchange, left, now, state.settings.retention),
-            left,
+            claim: new_claim(exchange, remaining, now, state.settings.retention),
+            remaining,
             now,
         };
         call.start(exchange.detach(), next.into_chain()).await
     }
 }
 
-/// A call on its way from its claim to its record.
-struct Call {
+/// A call from its claim until its outcome is recorded.
+struct ClaimedCall {
     state: Arc<RouterState>,
     id: ClaimId,
     claim: Claim,
-    left: Duration,
+    remaining: Duration,
     now: u64,
 }
 
-impl Call {
-    /// Runs the call in a task of its own, so that its end is recorded also
-    /// when the caller leaves.
+impl ClaimedCall {
+    /// Runs the call in a separate task, so that its outcome is recorded even if
+    /// the caller disconnects.
     async fn start(self, exchange: Exchange, rest: Chain) -> Result<Response<Body>, Refused> {
         let (sender, receiver) = async_channel::bounded(1);
-        let open = OpenRequest::new(self.state.clone(), exchange.request.clone());
+        let open_request = OpenRequestGuard::new(self.state.clone(), exchange.request_id.clone());
         spawn(async move {
-            let answer = self.run(exchange, rest).await;
-            sender.try_send(answer).ok();
-            drop(open);
+            let response = self.run(exchange, rest).await;
+            sender.try_send(response).ok();
+            drop(open_request);
         })
         .detach();
         receiver.recv().await.unwrap_or_else(|_| {
@@ -98,11 +99,11 @@
     }
 
     async fn run(self, mut exchange: Exchange, rest: Chain) -> Result<Response<Body>, Refused> {
-        if let Some(held) = self.claim().await? {
-            return replay(held, &self.claim.digest, self.now);
+        if let Some(existing) = self.claim().await? {
+            return replay(existing, &self.claim.digest, self.now);
         }
         match rest.run(&mut exchange).await {
-            Ok(answer) => self.record(answer).await,
+            Ok(response) => self.record(response).await,
             Err(refused) => {
                 self.settle(ClaimState::Ended(refused.ran)).await;
                 Err(refused)
@@ -110,49 +111,54 @@
         }
     }
 
-    /// Claims the call and returns the claim that it lost to, if any.
+    /// Claims the call, and returns the existing claim if there is one.
     async fn claim(&self) -> Result<Option<Claim>, Refused> {
         let command = Command::Claim {
             id: self.id.clone(),
             claim: self.claim.clone(),
             now: self.now,
         };
-        let limit = CLAIM_LIMIT.min(self.left);
-        match timeout(limit, self.state.propose(command)).await.flatten() {
+        let claim_timeout = CLAIM_TIMEOUT.min(self.remaining);
+        match timeout(claim_timeout, self.state.propose(command))
+            .await
+            .flatten()
+        {
             Some(Outcome::Claimed) => Ok(None),
-            Some(Outcome::Taken(held)) => Ok(Some(held)),
+            Some(Outcome::Taken(existing)) => Ok(Some(existing)),
             _ => {
-                // The claim may still be committed; nothing was or will be sent.
+                // The claim may still be committed, but the request is not sent.
                 self.settle_later(ClaimState::Ended(Ran::No));
                 let problem = "the call could not be claimed, so it was not sent";
-                Err(Refused::new(Code::Unavailable, problem).with_retry(CLAIM_RETRY))
+                Err(Refused::new(Code::Unavailable, problem).with_retry_after(CLAIM_RETRY_DELAY))
             }
         }
     }
 
-    /// Records the answer before the caller gets it.
-    async fn record(&self, answer: Response<Body>) -> Result<Response<Body>, Refused> {
-        let (parts, body) = answer.into_parts();
+    /// Records the response before returning it to the caller.
+    async fn record(&self, response: Response<Body>) -> Result<Response<Body>, Refused> {
+        let (parts, body) = response.into_parts();
         match collect(body).await {
-            Collected::Whole(whole) => {
-                let content = parts.headers.get(header::CONTENT_TYPE);
-                let content = content.and_then(|v| v.to_str().ok()).unwrap_or_default();
-                let end = match str::from_utf8(&whole) {
+            CollectedBody::Complete(bytes) => {
+                let content_type = parts.headers.get(header::CONTENT_TYPE);
+                let content_type = content_type
+                    .and_then(|v| v.to_str().ok())
+                    .unwrap_or_default();
+                let result = match str::from_utf8(&bytes) {
                     Ok(text) => ClaimState::Answered(StoredAnswer {
                         status: parts.status.as_u16(),
-                        content: content.to_owned(),
+                        content: content_type.to_owned(),
                         body: text.to_owned(),
                     }),
                     Err(_) => ClaimState::Ended(Ran::Yes),
                 };
-                self.settle(end).await;
-                Ok(Response::from_parts(parts, from_bytes(whole)))
+                self.settle(result).await;
+                Ok(Response::from_parts(parts, from_bytes(bytes)))
             }
-            Collected::Larger(body) => {
+            CollectedBody::TooLarge(body) => {
                 self.settle(ClaimState::Ended(Ran::Yes)).await;
                 Ok(Response::from_parts(parts, body))
             }
-            Collected::Broken(error) => {
+            CollectedBody::Failed(error) => {
                 self.settle(ClaimState::Ended(Ran::Unknown)).await;
                 let problem = format!("the upstream's answer broke off: {error}");
                 Err(Refused::new(Code::UpstreamFailed, problem).with_ran(Ran::Unknown))
@@ -160,32 +166,32 @@
         }
     }
 
-    /// Records how the call ended; what cannot be recorded now is recorded
-    /// later.
-    async fn settle(&self, end: ClaimState) {
-        let command = self.settlement(end.clone());
-        let settled = timeout(SETTLE_LIMIT, self.state.propose(command)).await;
+    /// Records the outcome of the call, and retries in the background if that
+    /// fails.
+    async fn settle(&self, result: ClaimState) {
+        let command = self.settle_command(result.clone());
+        let settled = timeout(SETTLE_TIMEOUT, self.state.propose(command)).await;
         if settled.flatten().is_none() {
-            self.settle_later(end);
+            self.settle_later(result);
         }
     }
 
-    fn settle_later(&self, end: ClaimState) {
+    fn settle_later(&self, result: ClaimState) {
         let state = self.state.clone();
-        let command = self.settlement(end);
+        let command = self.settle_command(result);
         spawn(async move {
-            for _ in 0..SETTLE_TRIES {
-                sleep(SETTLE_PAUSE).await;
+            for _ in 0..MAX_SETTLE_RETRIES {
+                sleep(SETTLE_RETRY_DELAY).await;
                 if state.propose(command.clone()).await.is_some() {
                     return;
                 }
             }
-            log::error!(target: "idempotency", "The end of a claimed call could not be recorded.");
+            log::error!(target: "idempotency", "Could not record the outcome of a claimed call; giving up.");
         })
         .detach();
     }
 
-    fn settlement(&self, state: ClaimState) -> Command {
+    fn settle_command(&self, state: ClaimState) -> Command {
         Command::Settle {
             id: self.id.clone(),
             attempt: self.claim.attempt.clone(),
@@ -194,38 +200,38 @@
     }
 }
 
-/// An answer, read as far as it can be stored.
-enum Collected {
-    Whole(Bytes),
-    /// Too large; the body still has all of it.
-    Larger(Body),
-    Broken(BodyError),
+/// A response body, read up to the size that can be stored.
+enum CollectedBody {
+    Complete(Bytes),
+    /// Too large to store; the body yields all of the content.
+    TooLarge(Body),
+    Failed(BodyError),
 }
 
-async fn collect(mut body: Body) -> Collected {
-    let mut whole = BytesMut::new();
+async fn collect(mut body: Body) -> CollectedBody {
+    let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         match frame {
-            Ok(frame) => whole.extend_from_slice(&frame.into_data().unwrap_or_default()),
-            Err(error) => return Collected::Broken(error),
+            Ok(frame) => bytes.extend_from_slice(&frame.into_data().unwrap_or_default()),
+            Err(error) => return CollectedBody::Failed(error),
         }
-        if whole.len() > STORED_BYTES {
-            return Collected::Larger(prepend(whole.freeze(), body));
+        if bytes.len() > MAX_STORED_BYTES {
+            return CollectedBody::TooLarge(prepend(bytes.freeze(), body));
         }
     }
-    Collected::Whole(whole.freeze())
+    CollectedBody::Complete(bytes.freeze())
 }
 
-fn prepend(head: Bytes, rest: Body) -> Body {
-    let parts = stream::unfold((Some(head), rest), |(head, mut rest)| async move {
-        if let Some(head) = head {
-            return Some((Ok(head), (None, rest)));
+fn prepend(buffered: Bytes, rest: Body) -> Body {
+    let chunks = stream::unfold((Some(buffered), rest), |(buffered, mut rest)| async move {
+        if let Some(buffered) = buffered {
+            return Some((Ok(buffered), (None, rest)));
         }
         let frame = rest.frame().await?;
-        let part = frame.map(|f| f.into_data().unwrap_or_default());
-        Some((part, (None, rest)))
+        let chunk = frame.map(|f| f.into_data().unwrap_or_default());
+        Some((chunk, (None, rest)))
     });
-    from_stream(parts)
+    from_stream(chunks)
 }
 
 impl Filter for Idempotency {
@@ -233,7 +239,7 @@
         "idempotency"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(self.filter(exchange, next))
     }
 }
--- a/crates/sequoiawing_router/src/filters/measure.rs
+++ b/crates/sequoiawing_router/src/filters/measure.rs
@@ -1,10 +1,10 @@
-use crate::{Answer, Code, Exchange, Filter, Next, Refused, RouterState};
+use crate::{Code, Exchange, Filter, FilterFuture, Next, Refused, RouterState};
 use hyper::Response;
 use sequoiawing_http::Body;
 use sequoiawing_telemetry::{RequestAttributes, WithinRate};
 use std::sync::Arc;
 
-/// Measures how long answers take to begin, and counts refusals.
+/// Measures the time until responses begin, and counts refusals.
 pub(crate) struct MeasureRequest {
     state: Arc<RouterState>,
 }
@@ -14,25 +14,27 @@
         Self { state }
     }
 
-    fn record(&self, exchange: &Exchange, answer: &Result<Response<Body>, Refused>) {
+    fn record(&self, exchange: &Exchange, result: &Result<Response<Body>, Refused>) {
         let Some(meters) = &self.state.meters else {
             return;
         };
-        let asked = asked(exchange);
-        let took = self.state.now() - exchange.arrival;
-        match answer {
-            Ok(response) => meters.record_response(&asked, response.status().as_u16(), took),
+        let attributes = request_attributes(exchange);
+        let elapsed = self.state.now() - exchange.arrival;
+        match result {
+            Ok(response) => {
+                meters.record_response(&attributes, response.status().as_u16(), elapsed);
+            }
             Err(refused) => {
-                meters.record_response(&asked, refused.code.status().as_u16(), took);
+                meters.record_response(&attributes, refused.code.status().as_u16(), elapsed);
                 let code = serde_json::to_string(&refused.code).unwrap_or_default();
                 let within = within_rate(exchange, refused.code);
-                meters.record_refusal(&asked, code.trim_matches('"'), within);
+                meters.record_refusal(&attributes, code.trim_matches('"'), within);
             }
         }
     }
 }
 
-fn asked(exchange: &Exchange) -> RequestAttributes {
+fn request_attributes(exchange: &Exchange) -> RequestAttributes {
     RequestAttributes {
         customer: exchange.customer_name(),
         route: exchange.route.name.clone(),
@@ -40,8 +42,8 @@
     }
 }
 
-/// Says whether a refused request was within its customer's rate; those that
-/// were refused before the budget was asked are not known to be.
+/// Reports whether a refused request was within its customer's rate; this is
+/// unknown for requests that were refused before the budget was checked.
 fn within_rate(exchange: &Exchange, code: Code) -> WithinRate {
     match code {
         Code::RateLimited => WithinRate::No,
@@ -59,17 +61,17 @@
         "measure"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(async move {
-            let answer = next.run(exchange).await;
-            self.record(exchange, &answer);
-            answer
+            let result = next.run(exchange).await;
+            self.record(exchange, &result);
+            result
         })
     }
 }
 
-/// Measures how long requests take whose model or adapter is not loaded when
-/// they come to be sent.
+/// Measures the time that requests take whose model or adapter is not loaded
+/// when they are ready to be sent.
 pub(crate) struct MeasureColdStart {
     state: Arc<RouterState>,
 }
@@ -95,7 +97,7 @@
         "measure-cold-start"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         let meters = self
             .state
             .meters
@@ -105,10 +107,10 @@
             return next.run(exchange);
         };
         Box::pin(async move {
-            let answer = next.run(exchange).await;
-            let took = self.state.now() - exchange.arrival;
-            meters.record_cold_start(&asked(exchange), answer.is_ok(), took);
-            answer
+            let result = next.run(exchange).await;
+            let elapsed = self.state.now() - exchange.arrival;
+            meters.record_cold_start(&request_attributes(exchange), result.is_ok(), elapsed);
+            result
         })
     }
 }
--- a/crates/sequoiawing_router/src/filters/mod.rs
+++ b/crates/sequoiawing_router/src/filters/mod.rs
@@ -1,18 +1,18 @@
-//! The filters that every router has, one job each.
+//! The standard filters of a router.
 
 mod authenticate;
 mod deadline;
 mod forward;
 mod idempotency;
-mod limit;
 mod measure;
+mod rate_limit;
 mod read_body;
 mod route;
-mod usage;
+mod token_counter;
 
 use crate::{Plugin, RouterBuilder};
 
-/// Joins the standard filters in their order.
+/// Adds the standard filters in the order in which requests pass them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StandardFilters;
 
@@ -26,7 +26,7 @@
             .add_filter(route::SelectRoute::new(state.clone()))
             .add_filter(read_body::ReadBody::new(state.clone()))
             .add_filter(idempotency::Idempotency::new(state.clone()))
-            .add_filter(limit::Limit::new(state.clone()))
+            .add_filter(rate_limit::RateLimit::new(state.clone()))
             .add_filter(measure::MeasureColdStart::new(state.clone()))
             .add_filter(forward::Forward::new(state));
     }
--- a/crates/sequoiawing_router/src/filters/limit.rs
+++ b/crates/sequoiawing_router/src/filters/rate_limit.rs
@@ -1,5 +1,6 @@
 use crate::{
-    Answer, Code, Exchange, Filter, Next, Refused, Reservation, RouterState, filters::usage::Usage,
+    Code, Exchange, Filter, FilterFuture, Next, Refused, Reservation, RouterState,
+    filters::token_counter::TokenCounter,
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -17,16 +18,16 @@
     time::Duration,
 };
 
-/// When to come back after no lender answered before the deadline.
-const RETRY: Duration = Duration::from_millis(500);
+/// The retry delay returned when no lender answered before the deadline.
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Reserves the tokens of a request, and gives back what it did not use when
-/// its answer has ended.
-pub(crate) struct Limit {
+/// Reserves tokens for a request, and refunds the unused ones when its response
+/// has ended.
+pub(crate) struct RateLimit {
     state: Arc<RouterState>,
 }
 
-impl Limit {
+impl RateLimit {
     pub(crate) fn new(state: Arc<RouterState>) -> Self {
         Self { state }
     }
@@ -39,74 +40,74 @@
         let Some(customer) = exchange.customer.clone() else {
             return next.run(exchange).await;
         };
-        let tokens = exchange.prompt_tokens + exchange.answer_tokens;
+        let tokens = exchange.prompt_tokens + exchange.output_tokens;
         if tokens > customer.burst {
             let problem = format!("{tokens} tokens are more than the burst {}", customer.burst);
             return Err(Refused::new(Code::BadRequest, problem));
         }
         let now = self.state.now();
         let reserving = self.state.limiter.reserve(now, &customer, tokens);
-        let left = exchange.latest().since(now);
-        let reserved = timeout(left, reserving).await;
-        let late = Err(Denial::Unavailable(RETRY));
-        let reservation = reserved.unwrap_or(late).map_err(refuse)?;
-        let mut meter = Meter {
+        let remaining = exchange.response_deadline().since(now);
+        let reserved = timeout(remaining, reserving).await;
+        let unavailable = Err(Denial::Unavailable(UNAVAILABLE_RETRY_DELAY));
+        let reservation = reserved.unwrap_or(unavailable).map_err(refuse)?;
+        let mut guard = ReservationGuard {
             state: self.state.clone(),
             reservation: Some(reservation),
-            prompt: exchange.prompt_tokens,
-            usage: Usage::default(),
+            prompt_tokens: exchange.prompt_tokens,
+            output: TokenCounter::default(),
             ran: true,
         };
-        let answer = next.run(exchange).await;
-        meter.ran = answer
+        let response = next.run(exchange).await;
+        guard.ran = response
             .as_ref()
             .map_or_else(|e| e.ran != sequoiawing_types::Ran::No, |_| true);
-        Ok(answer?.map(|body| MeteredBody { body, meter }.boxed_unsync()))
+        Ok(response?.map(|body| CountedBody { body, guard }.boxed_unsync()))
     }
 }
 
-impl Filter for Limit {
+impl Filter for RateLimit {
     fn name(&self) -> &'static str {
         "limit"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(self.limit(exchange, next))
     }
 }
 
 fn refuse(denial: Denial) -> Refused {
-    let (code, problem, retry) = match denial {
-        Denial::Exhausted(retry) => {
+    let (code, problem, retry_after) = match denial {
+        Denial::Exhausted(retry_after) => {
             let problem = "the customer's rate and burst are used up";
-            (Code::RateLimited, problem, retry)
+            (Code::RateLimited, problem, retry_after)
         }
-        Denial::Unavailable(retry) => {
+        Denial::Unavailable(retry_after) => {
             let problem = "no lender of the customer's budget answered in time";
-            (Code::Unavailable, problem, retry)
+            (Code::Unavailable, problem, retry_after)
         }
     };
-    Refused::new(code, problem).with_retry(retry)
+    Refused::new(code, problem).with_retry_after(retry_after)
 }
 
-/// Settles a reservation when it is dropped with the answer's body.
-struct Meter {
+/// Settles a reservation when it is dropped with the response body.
+struct ReservationGuard {
     state: Arc<RouterState>,
     reservation: Option<Reservation>,
-    prompt: u64,
-    usage: Usage,
+    prompt_tokens: u64,
+    output: TokenCounter,
     ran: bool,
 }
 
-impl Drop for Meter {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
         let used = if self.ran {
-            self.prompt + self.usage.tokens()
+            self.prompt_tokens + self.output.count()
         } else {
             0
         };
-        if let (Some(meters), Some(held)) = (&self.state.meters, &self.reservation) {
-            meters.record_served_tokens(&held.customer, used);
+        if let (Some(meters), Some(reservation)) = (&self.state.meters, &self.reservation) {
+            meters.record_served_tokens(&reservation.customer, used);
         }
         if let Some(reservation) = self.reservation.take() {
             self.state
@@ -116,12 +117,12 @@
     }
 }
 
-struct MeteredBody {
+struct CountedBody {
     body: Body,
-    meter: Meter,
+    guard: ReservationGuard,
 }
 
-impl HttpBody for MeteredBody {
+impl HttpBody for CountedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -131,9 +132,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         if let Poll::Ready(Some(Ok(frame))) = &polled
-            && let Some(part) = frame.data_ref()
+            && let Some(chunk) = frame.data_ref()
         {
-            self.meter.usage.add(part);
+            self.guard.output.add(chunk);
         }
         polled
     }
--- a/crates/sequoiawing_router/src/filters/read_body.rs
+++ b/crates/sequoiawing_router/src/filters/read_body.rs
@@ -1,5 +1,6 @@
 use crate::{
-    Answer, Code, Completion, Exchange, Filter, Next, Refused, RouterState, credential::holds_key,
+    Code, Completion, Exchange, Filter, FilterFuture, Next, Refused, RouterState,
+    credential::contains_active_key,
 };
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use sequoiawing_runtime::timeout;
@@ -11,19 +12,21 @@
     time::Duration,
 };
 
-/// The tokens of an answer when the caller names no bound.
-const DEFAULT_ANSWER_TOKENS: u64 = 256;
+/// The limit of output tokens when the caller sets none.
+const DEFAULT_OUTPUT_TOKENS: u64 = 256;
 
-/// The most tokens that one answer may be asked to have.
-const MAX_ANSWER_TOKENS: u64 = 1_000_000;
+/// The largest limit of output tokens that a caller may set.
+const MAX_OUTPUT_TOKENS: u64 = 1_000_000;
 
-/// The bytes of text that are taken for one token of a prompt.
+/// The estimated number of prompt bytes per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// The bytes of a prompt's beginning that find an upstream which has it cached.
+/// The length of the prompt prefix by which an upstream that has it cached is
+/// found, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// Reads the body within its bounds, and the completion in it.
+/// Reads the body within the limits of size and time, and parses the completion
+/// request in it.
 pub(crate) struct ReadBody {
     state: Arc<RouterState>,
 }
@@ -37,14 +40,16 @@
         let Some(incoming) = exchange.incoming.take() else {
             return Ok(());
         };
-        let left = exchange.latest().since(self.state.now());
-        let limit = Duration::from_millis(self.state.settings.upload).min(left);
+        let remaining = exchange.response_deadline().since(self.state.now());
+        let upload_timeout = Duration::from_millis(self.state.settings.upload).min(remaining);
         let limited = Limited::new(incoming, self.state.settings.body);
-        let collected = timeout(limit, limited.collect()).await;
-        let late = || Refused::new(Code::BodyTimeout, "the body did not arrive in time");
-        let body = collected.ok_or_else(late)?.map_err(|e| refuse_body(&*e))?;
+        let collected = timeout(upload_timeout, limited.collect()).await;
+        let timed_out = || Refused::new(Code::BodyTimeout, "the body did not arrive in time");
+        let body = collected
+            .ok_or_else(timed_out)?
+            .map_err(|e| refuse_body(&*e))?;
         exchange.body = body.to_bytes();
-        if holds_key(&self.state.tables.get(), &exchange.body) {
+        if contains_active_key(&self.state.tables.get(), &exchange.body) {
             let problem = "the body holds a key, which no upstream may see";
             return Err(Refused::new(Code::BadRequest, problem));
         }
@@ -53,8 +58,8 @@
 
     fn parse(&self, exchange: &mut Exchange) -> Result<(), Refused> {
         let tables = self.state.tables.get();
-        let missing = || Refused::new(Code::NotFound, "the route's pool does not exist");
-        let pool = tables.pools.get(&exchange.route.pool).ok_or_else(missing)?;
+        let no_pool = || Refused::new(Code::NotFound, "the route's pool does not exist");
+        let pool = tables.pools.get(&exchange.route.pool).ok_or_else(no_pool)?;
         if pool.kind == PoolKind::Services {
             exchange.prompt_tokens = 1;
             return Ok(());
@@ -62,48 +67,48 @@
         let completion: Completion = serde_json::from_slice(&exchange.body).map_err(|e| {
             Refused::new(Code::BadRequest, format!("the body is no completion: {e}"))
         })?;
-        let answer_tokens = answer_tokens(&completion)?;
-        let base = completion.model.split(':').next().unwrap_or_default();
-        let known = pool
-            .model(base)
-            .filter(|_| exchange.route.allows_model(base));
-        let unknown = || {
-            let problem = format!("the route has no model '{base}'");
+        let output_tokens = output_tokens(&completion)?;
+        let model_name = completion.model.split(':').next().unwrap_or_default();
+        let allowed = pool
+            .model(model_name)
+            .filter(|_| exchange.route.allows_model(model_name));
+        let no_model = || {
+            let problem = format!("the route has no model '{model_name}'");
             Refused::new(Code::NotFound, problem)
         };
-        let model = known.ok_or_else(unknown)?;
+        let model = allowed.ok_or_else(no_model)?;
         if let Some((_, adapter)) = completion.model.split_once(':') {
             if !model.adapters.iter().any(|a| a.as_str() == adapter) {
-                let problem = format!("the model '{base}' has no adapter '{adapter}'");
+                let problem = format!("the model '{model_name}' has no adapter '{adapter}'");
                 return Err(Refused::new(Code::NotFound, problem));
             }
             exchange.adapter = Some(Name::from(completion.model.as_str()));
         }
         exchange.model = Some(model.name.clone());
         exchange.stream = completion.stream;
-        exchange.answer_tokens = answer_tokens;
+        exchange.output_tokens = output_tokens;
         let prompt = prompt_text(&completion);
         exchange.prompt_tokens = (prompt.len() as u64).div_ceil(BYTES_PER_TOKEN).max(1);
-        exchange.prefix = hash_prefix(&prompt);
+        exchange.prefix_hash = hash_prefix(&prompt);
         Ok(())
     }
 }
 
-/// Returns the bound of the answer, which must be one that can be reserved.
-fn answer_tokens(completion: &Completion) -> Result<u64, Refused> {
-    let (field, asked) = match completion.max_completion_tokens {
+/// Returns the limit of output tokens, which must be small enough to reserve.
+fn output_tokens(completion: &Completion) -> Result<u64, Refused> {
+    let (field, requested) = match completion.max_completion_tokens {
         Some(tokens) => ("max_completion_tokens", Some(tokens)),
         None => ("max_tokens", completion.max_tokens),
     };
-    let tokens = asked.unwrap_or(DEFAULT_ANSWER_TOKENS);
-    if (1..=MAX_ANSWER_TOKENS).contains(&tokens) {
+    let tokens = requested.unwrap_or(DEFAULT_OUTPUT_TOKENS);
+    if (1..=MAX_OUTPUT_TOKENS).contains(&tokens) {
         return Ok(tokens);
     }
-    let problem = format!("{field} must be 1 to {MAX_ANSWER_TOKENS}");
+    let problem = format!("{field} must be 1 to {MAX_OUTPUT_TOKENS}");
     Err(Refused::new(Code::BadRequest, problem))
 }
 
-/// Returns all that the model reads, in order.
+/// Returns all text that the model reads, in order.
 fn prompt_text(completion: &Completion) -> String {
     let mut text = value_text(&completion.prompt);
     for message in &completion.messages {
@@ -140,7 +145,7 @@
         "read-body"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(async move {
             self.read(exchange).await?;
             self.parse(exchange)?;
--- a/crates/sequoiawing_router/src/filters/route.rs
+++ b/crates/sequoiawing_router/src/filters/route.rs
@@ -1,12 +1,12 @@
-use crate::{Answer, Code, Credential, Exchange, Filter, Next, Refused, RouterState};
+use crate::{Code, Credential, Exchange, Filter, FilterFuture, Next, Refused, RouterState};
 use hyper::{Method, header::HOST};
 use sequoiawing_tables::{Access, PoolKind, Route, Tables};
 use std::{sync::Arc, time::Duration};
 
-/// When a router that is cut off may be asked again.
-const CONFIRM_RETRY: Duration = Duration::from_secs(5);
+/// The retry delay returned when a disconnected router cannot confirm a key.
+const UNCONFIRMED_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Finds the route of a request and checks that its customer may use it.
+/// Selects the route of a request and checks that its customer may use it.
 pub(crate) struct SelectRoute {
     state: Arc<RouterState>,
 }
@@ -19,10 +19,10 @@
     fn select(&self, exchange: &mut Exchange) -> Result<(), Refused> {
         let tables = self.state.tables.get();
         let route = find_route(&tables, exchange)?;
-        admit(route, exchange)?;
+        authorize(route, exchange)?;
         check_method(&tables, route, &exchange.method)?;
-        let default = Duration::from_millis(route.deadline);
-        exchange.deadline.get_or_insert(exchange.arrival + default);
+        let timeout = Duration::from_millis(route.deadline);
+        exchange.deadline.get_or_insert(exchange.arrival + timeout);
         exchange.route = Arc::new(route.clone());
         Ok(())
     }
@@ -31,13 +31,13 @@
 fn find_route<'t>(tables: &'t Tables, exchange: &Exchange) -> Result<&'t Route, Refused> {
     let host = exchange.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.unwrap_or_default();
-    let found = tables.route_for(host, &exchange.path);
-    found.ok_or_else(|| Refused::new(Code::NotFound, "no route matches the request"))
+    let route = tables.route_for(host, &exchange.path);
+    route.ok_or_else(|| Refused::new(Code::NotFound, "no route matches the request"))
 }
 
-/// Settles for whom the request runs: on routes open to all for nobody, else
-/// for the customer of its key.
-fn admit(route: &Route, exchange: &mut Exchange) -> Result<(), Refused> {
+/// Sets the customer for whom the request runs: that of its key, or none on
+/// routes that are open to all.
+fn authorize(route: &Route, exchange: &mut Exchange) -> Result<(), Refused> {
     let Access::Customers(customers) = &route.access else {
         return Ok(());
     };
@@ -55,12 +55,12 @@
         Credential::Invalid => Err(Refused::new(Code::Unauthorized, "the key is not in force")),
         Credential::Unconfirmed => {
             let problem = "the router is cut off and cannot confirm the key any longer";
-            Err(Refused::new(Code::Unavailable, problem).with_retry(CONFIRM_RETRY))
+            Err(Refused::new(Code::Unavailable, problem).with_retry_after(UNCONFIRMED_RETRY_DELAY))
         }
     }
 }
 
-/// Checks that the pool answers the method.
+/// Checks that the pool supports the method.
 fn check_method(tables: &Tables, route: &Route, method: &Method) -> Result<(), Refused> {
     let pool = tables.pools.get(&route.pool);
     let runs_models = pool.is_some_and(|p| p.kind == PoolKind::Runners);
@@ -76,7 +76,7 @@
         "route"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(async move {
             self.select(exchange)?;
             next.run(exchange).await
--- a/crates/sequoiawing_router/src/key_grace.rs
+++ b/crates/sequoiawing_router/src/key_grace.rs
@@ -1,48 +1,49 @@
-//! How long a router that is cut off goes on honouring keys.
+//! The grace period in which a disconnected router still accepts keys.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// When a controller last confirmed the tables, in milliseconds of wall clock.
+/// The time at which a controller last confirmed the tables, as Unix time in
+/// milliseconds.
 ///
-/// It is saved beside the tables, so that restarting a router that is cut off
-/// does not make it trust its keys anew.
+/// It is saved with the tables, so that a restart of a disconnected router does
+/// not start a new grace period.
 #[derive(Debug, Default)]
 pub(crate) struct KeyGrace(AtomicU64);
 
 impl KeyGrace {
-    /// Notes a confirmation; an earlier one never replaces a later one.
+    /// Records a confirmation; an earlier one never replaces a later one.
     pub(crate) fn confirm(&self, now: u64) {
         self.0.fetch_max(now, Ordering::Relaxed);
     }
 
-    /// Returns the last confirmation.
-    pub(crate) fn confirmed(&self) -> u64 {
+    /// Returns the time of the last confirmation.
+    pub(crate) fn last_confirmed(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Reports whether keys are honoured; a grace of zero lasts for ever.
-    pub(crate) fn holds(&self, now: u64, grace: Duration) -> bool {
-        grace.is_zero() || now.saturating_sub(self.confirmed()) <= millis(grace)
+    /// Reports whether keys are accepted; a grace period of zero never ends.
+    pub(crate) fn accepts_keys(&self, now: u64, grace: Duration) -> bool {
+        grace.is_zero() || now.saturating_sub(self.last_confirmed()) <= to_millis(grace)
     }
 }
 
-/// Returns the wall clock in milliseconds; only it goes on while a router is
-/// down.
-pub(crate) fn wall_millis() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, millis)
+/// Returns the Unix time in milliseconds. Unlike monotonic clocks, it continues
+/// while a router is down.
+pub(crate) fn unix_millis() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, to_millis)
 }
 
-/// Returns the wall clock in microseconds, which grows with each start of a
+/// Returns the Unix time in microseconds, which is higher at each start of a
 /// process.
-pub(crate) fn wall_micros() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(1, |d| u64::try_from(d.as_micros()).unwrap_or(1))
+pub(crate) fn unix_micros() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(1, |d| u64::try_from(d.as_micros()).unwrap_or(1))
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn to_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/sequoiawing_router/src/lib.rs
+++ b/crates/sequoiawing_router/src/lib.rs
@@ -18,7 +18,7 @@
 mod headers;
 mod key_grace;
 mod limiter;
-mod open;
+mod open_requests;
 mod peers;
 mod plugin;
 mod propose;
@@ -31,7 +31,7 @@
 mod shard;
 mod state;
 
-pub use chain::{Answer, Chain, Filter, Next};
+pub use chain::{Chain, Filter, FilterFuture, Next};
 pub use controllers::{Controller, intervals};
 pub use daemon::Router;
 pub use exchange::{Completion, Credential, Exchange, Message};
--- a/crates/sequoiawing_router/src/open.rs
+++ b/crates/sequoiawing_router/src/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests whose answers have not ended.
+//! The requests whose responses have not ended.
 
 use crate::RouterState;
 use bytes::Bytes;
@@ -15,32 +15,32 @@
 };
 
 new_key_type! {
-    /// Names an open request within its router.
+    /// Identifies an open request within its router.
     struct OpenKey;
 }
 
 /// The identifiers of all open requests.
 #[derive(Debug, Default)]
 pub(crate) struct OpenRequests {
-    names: Mutex<SlotMap<OpenKey, Name>>,
-    closed: Event,
+    request_ids: Mutex<SlotMap<OpenKey, Name>>,
+    emptied: Event,
 }
 
 impl OpenRequests {
     /// Returns the number of open requests.
     pub(crate) fn len(&self) -> usize {
-        self.names.lock().len()
+        self.request_ids.lock().len()
     }
 
     /// Returns the identifiers of the open requests.
     pub(crate) fn list(&self) -> Vec<Name> {
-        self.names.lock().values().cloned().collect()
+        self.request_ids.lock().values().cloned().collect()
     }
 
     /// Waits until no request is open.
-    pub(crate) async fn wait_none(&self) {
+    pub(crate) async fn wait_until_empty(&self) {
         loop {
-            let listener = self.closed.listen();
+            let listener = self.emptied.listen();
             if self.len() == 0 {
                 return;
             }
@@ -49,47 +49,50 @@
     }
 
     fn close(&self, key: OpenKey) {
-        let mut names = self.names.lock();
-        names.remove(key);
-        if names.is_empty() {
-            drop(names);
-            self.closed.notify(usize::MAX);
+        let mut request_ids = self.request_ids.lock();
+        request_ids.remove(key);
+        if request_ids.is_empty() {
+            drop(request_ids);
+            self.emptied.notify(usize::MAX);
         }
     }
 }
 
-/// Keeps a request open for as long as it lives.
-pub(crate) struct OpenRequest {
+/// Registers a request as open until the guard is dropped.
+pub(crate) struct OpenRequestGuard {
     state: Arc<RouterState>,
     key: OpenKey,
 }
 
-impl OpenRequest {
-    pub(crate) fn new(state: Arc<RouterState>, request: Name) -> Self {
-        let key = state.open.names.lock().insert(request);
+impl OpenRequestGuard {
+    pub(crate) fn new(state: Arc<RouterState>, request_id: Name) -> Self {
+        let key = state.open.request_ids.lock().insert(request_id);
         Self { state, key }
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.state.open.close(self.key);
     }
 }
 
-/// An answer's body, which keeps its request open until it has ended.
-pub(crate) struct OpenBody {
+/// A response body that keeps its request registered until it is dropped.
+pub(crate) struct TrackedBody {
     body: Body,
-    _open: OpenRequest,
+    _guard: OpenRequestGuard,
 }
 
-impl OpenBody {
-    pub(crate) fn new(body: Body, open: OpenRequest) -> Self {
-        Self { body, _open: open }
+impl TrackedBody {
+    pub(crate) fn new(body: Body, guard: OpenRequestGuard) -> Self {
+        Self {
+            body,
+            _guard: guard,
+        }
     }
 }
 
-impl HttpBody for OpenBody {
+impl HttpBody for TrackedBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/sequoiawing_router/src/refusal.rs
+++ b/crates/sequoiawing_router/src/refusal.rs
@@ -8,49 +8,49 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Why a request was refused or failed, as callers read it.
+/// The reason why a request was refused or failed, as reported to callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
     /// The request is malformed.
     BadRequest,
-    /// No key came with the request, or one that is not in force.
+    /// The request has no key, or one that is not active.
     Unauthorized,
     /// The key's customer may not use the route or model.
     Forbidden,
     /// No route matches, or the pool does not have the model.
     NotFound,
-    /// The route does not answer the method.
+    /// The route does not support the method.
     MethodNotAllowed,
-    /// The path and query are longer than the bound.
+    /// The path and query exceed the length limit.
     UriTooLong,
-    /// The headers are larger than the bound.
+    /// The headers exceed the size limit.
     HeadersTooLarge,
-    /// The body is larger than the bound.
+    /// The body exceeds the size limit.
     BodyTooLarge,
     /// The body did not arrive in time.
     BodyTimeout,
-    /// The idempotency key was used for another request.
+    /// The idempotency key was already used for a different request.
     KeyReused,
-    /// The call with this idempotency key has not ended.
+    /// The call with this idempotency key is still in progress.
     InProgress,
-    /// How the call with this idempotency key ended is not known.
+    /// The outcome of the call with this idempotency key is unknown.
     OutcomeUnknown,
-    /// The call with this idempotency key ran; its answer was not kept.
+    /// The call with this idempotency key ran, but its response was not stored.
     AnswerNotKept,
-    /// The customer's rate and burst are used up.
+    /// The customer's rate and burst are exhausted.
     RateLimited,
     /// No upstream can start the request before its deadline.
     TooLate,
-    /// Too many requests wait.
+    /// Too many requests are waiting.
     Overloaded,
     /// No upstream can serve the request.
     NoUpstream,
     /// The upstream failed.
     UpstreamFailed,
-    /// The answer did not end within the request's time.
+    /// The response did not end within the timeout of the request.
     TimedOut,
-    /// The state that the request needs cannot be reached.
+    /// State that the request needs is unavailable.
     Unavailable,
 }
 
@@ -79,17 +79,17 @@
     }
 }
 
-/// An answer that a router gives in place of an upstream.
+/// An error response that a router sends instead of one from an upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refused {
     /// The reason.
     pub code: Code,
-    /// The reason in words.
+    /// The reason, as text.
     pub message: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When asking again may help.
-    pub retry: Option<Duration>,
+    /// The delay after which a retry may succeed.
+    pub retry_after: Option<Duration>,
 }
 
 #[derive(Serialize)]
@@ -107,7 +107,7 @@
 }
 
 impl Refused {
-    /// Returns a refusal of a request that did not run.
+    /// Creates a refusal of a request that did not run.
     pub fn new<T>(code: Code, message: T) -> Self
     where
         T: Into<String>,
@@ -116,33 +116,33 @@
             code,
             message: message.into(),
             ran: Ran::No,
-            retry: None,
+            retry_after: None,
         }
     }
 
-    /// Says whether the request ran.
+    /// Sets whether the request ran.
     #[must_use]
     pub fn with_ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
     }
 
-    /// Says when asking again may help.
+    /// Sets the delay after which a retry may succeed.
     #[must_use]
-    pub fn with_retry(mut self, retry: Duration) -> Self {
-        self.retry = Some(retry);
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 
-    /// Builds the answer as it stands on a connection that is closed behind it.
+    /// Builds the raw HTTP response, for a connection that is closed after it.
     pub fn into_bytes(self) -> Vec<u8> {
         let status = self.code.status();
         let json = self.json();
-        let retry = self.retry.map(whole_seconds);
-        let retry = retry.map_or_else(String::new, |s| format!("retry-after: {s}\r\n"));
+        let seconds = self.retry_after.map(ceil_seconds);
+        let retry_after = seconds.map_or_else(String::new, |s| format!("retry-after: {s}\r\n"));
         let head = format!(
             "HTTP/1.1 {status}\r\ncontent-type: application/json\r\n\
-             content-length: {}\r\n{RAN_HEADER}: {}\r\n{retry}connection: close\r\n\r\n",
+             content-length: {}\r\n{RAN_HEADER}: {}\r\n{retry_after}connection: close\r\n\r\n",
             json.len(),
             self.ran.as_str(),
         );
@@ -154,15 +154,15 @@
             code: self.code,
             message: &self.message,
             ran: self.ran,
-            retry_after_ms: self.retry.map(|r| r.as_millis()),
+            retry_after_ms: self.retry_after.map(|r| r.as_millis()),
         };
         serde_json::to_vec(&ErrorBody { error: detail }).unwrap_or_default()
     }
 
-    /// Builds the answer.
+    /// Builds the HTTP response.
     ///
-    /// `Retry-After` counts whole seconds and is rounded up, so that a caller
-    /// who obeys it does not come too early; the body has the milliseconds.
+    /// `Retry-After` is rounded up to whole seconds, so that a caller who obeys it
+    /// does not retry too early; the body has the delay in milliseconds.
     pub fn into_response(self) -> Response<Body> {
         let mut response = Response::new(from_bytes(self.json()));
         *response.status_mut() = self.code.status();
@@ -173,15 +173,15 @@
         if self.code == Code::MethodNotAllowed {
             headers.insert(header::ALLOW, HeaderValue::from_static("POST"));
         }
-        if let Some(retry) = self.retry {
-            let seconds = HeaderValue::from(whole_seconds(retry));
+        if let Some(delay) = self.retry_after {
+            let seconds = HeaderValue::from(ceil_seconds(delay));
             headers.insert(header::RETRY_AFTER, seconds);
         }
         response
     }
 }
 
-fn whole_seconds(span: Duration) -> u64 {
-    let seconds = span.as_millis().div_ceil(1_000).max(1);
+fn ceil_seconds(delay: Duration) -> u64 {
+    let seconds = delay.as_millis().div_ceil(1_000).max(1);
     u64::try_from(seconds).unwrap_or(u64::MAX)
 }
--- a/crates/sequoiawing_router/src/relay.rs
+++ b/crates/sequoiawing_router/src/relay.rs
@@ -1,8 +1,8 @@
-//! An upstream's answer on its way to the caller.
+//! Relays an upstream's response to the caller.
 
 use crate::{
-    attempt::{Attempts, Failed, ResumePoint, Template, UpstreamAnswer},
-    headers::{RAN_HEADER, remove_own_headers},
+    attempt::{AttemptError, AttemptSender, RequestTemplate, ResumePoint, UpstreamResponse},
+    headers::{RAN_HEADER, remove_internal_headers},
     shard::{Assignment, PoolShard},
     state::Withdrawn,
 };
@@ -26,28 +26,29 @@
     time::{Duration, Instant},
 };
 
-/// The most times that a stream is resumed without an event in between.
+/// The maximum number of resumes of a stream without an event in between.
 const MAX_RESUMES: u32 = 3;
 
-type Polled = Poll<Option<Result<Frame<Bytes>, BodyError>>>;
+type FramePoll = Poll<Option<Result<Frame<Bytes>, BodyError>>>;
 
-/// A future that brings the rest of a stream.
-type Resuming = Pin<Box<dyn Future<Output = Result<(UpstreamAnswer, Assignment), Failed>> + Send>>;
+/// A future that returns the rest of a stream.
+type ResumeFuture =
+    Pin<Box<dyn Future<Output = Result<(UpstreamResponse, Assignment), AttemptError>> + Send>>;
 
-/// Returns an upstream's error, which is relayed because nothing better came.
-pub(crate) fn relay_held(answer: UpstreamAnswer) -> Response<Body> {
-    let parts = clean(answer.parts);
-    let held = answer.held;
-    let body = HeldBody {
-        held,
-        body: answer.body,
+/// Relays an upstream's error response, as no other attempt succeeded.
+pub(crate) fn relay_error_response(response: UpstreamResponse) -> Response<Body> {
+    let parts = prepare_headers(response.parts);
+    let buffered = response.buffered;
+    let body = BufferedBody {
+        buffered,
+        body: response.body,
     };
     Response::from_parts(parts, body.boxed_unsync())
 }
 
-fn clean(mut parts: Parts) -> Parts {
+fn prepare_headers(mut parts: Parts) -> Parts {
     remove_hop_headers(&mut parts.headers);
-    remove_own_headers(&mut parts.headers);
+    remove_internal_headers(&mut parts.headers);
     let ran = HeaderValue::from_static(Ran::Yes.as_str());
     parts.headers.insert(RAN_HEADER, ran);
     parts
@@ -58,19 +59,19 @@
     content.is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"))
 }
 
-/// What was read of a body, followed by the rest of it.
-struct HeldBody {
-    held: VecDeque<Bytes>,
+/// The buffered part of a body, followed by the rest of it.
+struct BufferedBody {
+    buffered: VecDeque<Bytes>,
     body: Option<ClientBody>,
 }
 
-impl HttpBody for HeldBody {
+impl HttpBody for BufferedBody {
     type Data = Bytes;
     type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Polled {
-        if let Some(part) = self.held.pop_front() {
-            return Poll::Ready(Some(Ok(Frame::data(part))));
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
+        if let Some(chunk) = self.buffered.pop_front() {
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         match &mut self.body {
             Some(body) => Pin::new(body).poll_frame(cx),
@@ -79,70 +80,70 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.held.is_empty() && self.body.as_ref().is_none_or(HttpBody::is_end_stream)
+        self.buffered.is_empty() && self.body.as_ref().is_none_or(HttpBody::is_end_stream)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held: usize = self.held.iter().map(Bytes::len).sum();
+        let buffered: usize = self.buffered.iter().map(Bytes::len).sum();
         let rest = self.body.as_ref().map(HttpBody::size_hint);
         let rest = rest.unwrap_or_else(|| SizeHint::with_exact(0));
         let mut hint = SizeHint::new();
-        hint.set_lower(held as u64 + rest.lower());
+        hint.set_lower(buffered as u64 + rest.lower());
         if let Some(upper) = rest.upper() {
-            hint.set_upper(held as u64 + upper);
+            hint.set_upper(buffered as u64 + upper);
         }
         hint
     }
 }
 
-/// An answer that breaks off when the caller's key is withdrawn or the
-/// upstream does not finish; it is never ended as if it were whole.
+/// A response body that fails when the caller's key is withdrawn or the upstream
+/// does not finish; a truncated body never ends as if it were complete.
 ///
-/// Where the route allows, a stream that broke off goes on from another
-/// upstream; see [docs/design/streams.md](../../../docs/design/streams.md).
+/// If the route allows it, an interrupted stream is resumed on another upstream;
+/// see [docs/design/streams.md](../../../docs/design/streams.md).
 pub(crate) struct RelayedBody {
-    body: HeldBody,
+    body: BufferedBody,
     withdrawn: Option<Withdrawn>,
     assignment: Option<Assignment>,
     watchdog: Watchdog,
-    /// Present for streams whose end can be told from a cut.
+    /// Present for streams, whose end can be told from a truncation.
     events: Option<Events>,
-    resume: Option<Box<Resume>>,
-    resuming: Option<Resuming>,
-    /// Why the answer is about to break off.
-    failing: Option<BodyError>,
+    resume: Option<Box<StreamResume>>,
+    resuming: Option<ResumeFuture>,
+    /// The error with which the body fails at the next poll.
+    pending_error: Option<BodyError>,
 }
 
 impl RelayedBody {
-    /// Returns the answer as the caller gets it.
+    /// Returns the response that is sent to the caller.
     pub(crate) fn relay(
-        attempts: Attempts,
-        template: Arc<Template>,
+        sender: AttemptSender,
+        template: Arc<RequestTemplate>,
         shard: Arc<PoolShard>,
-        answer: UpstreamAnswer,
+        response: UpstreamResponse,
         assignment: Assignment,
         withdrawn: Option<Withdrawn>,
     ) -> Response<Body> {
         let is_stream = template.stream
-            && answer.parts.status.is_success()
-            && is_event_stream(&answer.parts.headers);
-        let mut parts = clean(answer.parts);
-        let stall = Duration::from_millis(attempts.state.settings.stall);
+            && response.parts.status.is_success()
+            && is_event_stream(&response.parts.headers);
+        let mut parts = prepare_headers(response.parts);
+        let stall = Duration::from_millis(sender.state.settings.stall);
         let watchdog = Watchdog::new(stall);
-        let body = HeldBody {
-            held: answer.held,
-            body: answer.body,
+        let body = BufferedBody {
+            buffered: response.buffered,
+            body: response.body,
         };
         let resume = (is_stream && template.resumable).then(|| {
             parts.headers.remove(header::CONTENT_LENGTH);
-            Box::new(Resume {
-                attempts,
+            Box::new(StreamResume {
+                sender,
                 template,
                 shard,
-                attempt: answer.attempt,
-                resumes: 0,
-                total: 0,
-                progress: 0,
+                attempt: response.attempt,
+                recent_resumes: 0,
+                total_resumes: 0,
+                last_offset: 0,
             })
         });
         let relayed = Self {
@@ -153,7 +154,7 @@
             events: is_stream.then(Events::default),
             resume,
             resuming: None,
-            failing: None,
+            pending_error: None,
         };
         Response::from_parts(parts, relayed.boxed_unsync())
     }
@@ -163,19 +164,19 @@
         withdrawn.is_some_and(|w| w.as_mut().poll(cx).is_ready())
     }
 
-    /// Breaks the answer off at the next poll, so that what came before is sent
+    /// Fails the body at the next poll, so that the data before the error is sent
     /// first.
-    fn fail(&mut self, cx: &mut Context<'_>, error: BodyError) -> Polled {
-        self.failing = Some(error);
+    fn defer_error(&mut self, cx: &mut Context<'_>, error: BodyError) -> FramePoll {
+        self.pending_error = Some(error);
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    /// Polls the upstream, and takes one that is silent for too long for dead.
-    fn poll_upstream(&mut self, cx: &mut Context<'_>) -> Polled {
+    /// Polls the upstream, and fails if it has sent nothing within the stall timeout.
+    fn poll_upstream(&mut self, cx: &mut Context<'_>) -> FramePoll {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         if polled.is_ready() {
-            self.watchdog.feed();
+            self.watchdog.reset();
             return polled;
         }
         ready!(self.watchdog.poll(cx));
@@ -183,12 +184,12 @@
     }
 
     /// Handles the end of the upstream's body, with or without an error.
-    fn end(&mut self, error: Option<BodyError>) -> Option<BodyError> {
+    fn handle_end(&mut self, error: Option<BodyError>) -> Option<BodyError> {
         if self.events.as_ref().is_some_and(Events::is_done) {
             return None;
         }
-        let cut = self.events.is_some();
-        let error = error.or_else(|| cut.then(|| "the upstream stopped half-way".into()));
+        let is_truncated = self.events.is_some();
+        let error = error.or_else(|| is_truncated.then(|| "the upstream stopped half-way".into()));
         if error.is_some()
             && let Some(assignment) = &self.assignment
         {
@@ -197,35 +198,35 @@
         error
     }
 
-    /// Begins to resume the stream, if that is allowed and affordable.
+    /// Starts to resume the stream, if the route and the retry budget allow it.
     fn start_resume(&mut self) -> bool {
         let Some(resume) = &mut self.resume else {
             return false;
         };
         let events = self.events.get_or_insert_default();
         events.cut();
-        let failed = self.assignment.take().map(|a| a.upstream.clone());
-        self.resuming = resume.start(events.count(), failed);
+        let failed_upstream = self.assignment.take().map(|a| a.upstream.clone());
+        self.resuming = resume.start(events.count(), failed_upstream);
         self.resuming.is_some()
     }
 
-    /// Polls the search for an upstream that goes on with the stream.
+    /// Polls the attempt to resume the stream on another upstream.
     fn poll_resume(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), BodyError>> {
         while let Some(resuming) = &mut self.resuming {
             match ready!(resuming.as_mut().poll(cx)) {
-                Ok((answer, assignment)) => {
-                    self.body = HeldBody {
-                        held: answer.held,
-                        body: answer.body,
+                Ok((response, assignment)) => {
+                    self.body = BufferedBody {
+                        buffered: response.buffered,
+                        body: response.body,
                     };
                     self.assignment = Some(assignment);
                     self.resuming = None;
-                    self.watchdog.feed();
+                    self.watchdog.reset();
                 }
-                Err(failed) => {
+                Err(error) => {
                     self.resuming = None;
                     if !self.start_resume() {
-                        return Poll::Ready(Err(failed.cause.into()));
+                        return Poll::Ready(Err(error.cause.into()));
                     }
                 }
             }
@@ -233,17 +234,17 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Returns what of a part may be passed on now.
-    fn pass(&mut self, part: Bytes) -> Option<Bytes> {
+    /// Returns the data that may be relayed after a chunk was received.
+    fn process_chunk(&mut self, chunk: Bytes) -> Option<Bytes> {
         let Some(events) = &mut self.events else {
-            return Some(part);
+            return Some(chunk);
         };
         if self.resume.is_some() {
-            let whole = events.push(part);
-            return (!whole.is_empty()).then_some(whole);
+            let complete = events.push(chunk);
+            return (!complete.is_empty()).then_some(complete);
         }
-        events.push(part.clone());
-        Some(part)
+        events.push(chunk.clone());
+        Some(chunk)
     }
 }
 
@@ -251,8 +252,8 @@
     type Data = Bytes;
     type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Polled {
-        if let Some(error) = self.failing.take() {
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
+        if let Some(error) = self.pending_error.take() {
             return Poll::Ready(Some(Err(error)));
         }
         if self.is_withdrawn(cx) {
@@ -260,23 +261,23 @@
         }
         loop {
             if let Err(error) = ready!(self.poll_resume(cx)) {
-                return self.fail(cx, error);
+                return self.defer_error(cx, error);
             }
             let error = match ready!(self.poll_upstream(cx)) {
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(part) => match self.pass(part) {
-                        Some(part) => return Poll::Ready(Some(Ok(Frame::data(part)))),
+                    Ok(chunk) => match self.process_chunk(chunk) {
+                        Some(chunk) => return Poll::Ready(Some(Ok(Frame::data(chunk)))),
                         None => continue,
                     },
                     Err(trailers) => return Poll::Ready(Some(Ok(trailers))),
                 },
-                Some(Err(error)) => self.end(Some(error)),
-                None => self.end(None),
+                Some(Err(error)) => self.handle_end(Some(error)),
+                None => self.handle_end(None),
             };
             match error {
                 None => return Poll::Ready(None),
                 Some(_) if self.start_resume() => {}
-                Some(error) => return self.fail(cx, error),
+                Some(error) => return self.defer_error(cx, error),
             }
         }
     }
@@ -293,74 +294,76 @@
     }
 }
 
-/// How a stream that broke off goes on.
-struct Resume {
-    attempts: Attempts,
-    template: Arc<Template>,
+/// The state for resuming an interrupted stream.
+struct StreamResume {
+    sender: AttemptSender,
+    template: Arc<RequestTemplate>,
     shard: Arc<PoolShard>,
     /// The attempt that began the stream.
     attempt: String,
-    /// The resumes since the last event.
-    resumes: u32,
-    /// The resumes in all, which number their attempts.
-    total: u32,
-    /// The events at the last resume.
-    progress: u64,
+    /// The number of resumes since the last event.
+    recent_resumes: u32,
+    /// The total number of resumes, from which their attempts are numbered.
+    total_resumes: u32,
+    /// The number of events at the last resume.
+    last_offset: u64,
 }
 
-impl Resume {
-    fn start(&mut self, offset: u64, failed: Option<Name>) -> Option<Resuming> {
-        if offset > self.progress {
-            self.progress = offset;
-            self.resumes = 0;
+impl StreamResume {
+    fn start(&mut self, offset: u64, failed_upstream: Option<Name>) -> Option<ResumeFuture> {
+        if offset > self.last_offset {
+            self.last_offset = offset;
+            self.recent_resumes = 0;
         }
-        let state = &self.attempts.state;
-        let work = &self.template.work;
+        let state = &self.sender.state;
+        let dispatch_request = &self.template.dispatch_request;
         let pool = self.shard.pool();
-        if self.resumes >= MAX_RESUMES || !state.take_retry(&work.customer, pool) {
+        if self.recent_resumes >= MAX_RESUMES || !state.take_retry(&dispatch_request.customer, pool)
+        {
             return None;
         }
-        self.resumes += 1;
-        self.total += 1;
+        self.recent_resumes += 1;
+        self.total_resumes += 1;
         let point = ResumePoint {
             attempt: self.attempt.clone(),
             offset,
         };
-        let request = &self.template.request;
-        log::info!(target: "relay", "Request {request} is resumed behind event {offset}.");
-        let deadline = state.now() + self.template.patience;
-        let number = format!("r{}", self.total);
-        let search = Search {
-            attempts: self.attempts.clone(),
+        let request_id = &self.template.request_id;
+        log::info!(target: "relay", "Resuming the stream of request {request_id} after event {offset}.");
+        let deadline = state.now() + self.template.max_wait;
+        let number = format!("r{}", self.total_resumes);
+        let resume_attempt = ResumeAttempt {
+            sender: self.sender.clone(),
             template: self.template.clone(),
             shard: self.shard.clone(),
             deadline,
         };
-        Some(Box::pin(search.run(number, point, failed)))
+        Some(Box::pin(resume_attempt.run(number, point, failed_upstream)))
     }
 }
 
-/// The search for an upstream that goes on with a stream.
-struct Search {
-    attempts: Attempts,
-    template: Arc<Template>,
+/// An attempt to resume a stream on another upstream.
+struct ResumeAttempt {
+    sender: AttemptSender,
+    template: Arc<RequestTemplate>,
     shard: Arc<PoolShard>,
     deadline: Time,
 }
 
-impl Search {
+impl ResumeAttempt {
     async fn run(
         self,
         number: String,
         point: ResumePoint,
-        failed: Option<Name>,
-    ) -> Result<(UpstreamAnswer, Assignment), Failed> {
-        let id = self.attempts.state.next_request();
-        let avoid = failed.into_iter().collect();
-        let work = self.template.work(id, self.deadline, avoid);
-        let waited = self.shard.wait(work).await;
-        let assignment = waited.map_err(|_| Failed::unsent("no upstream was free to resume"))?;
-        let sent = self.attempts.send(
+        failed_upstream: Option<Name>,
+    ) -> Result<(UpstreamResponse, Assignment), AttemptError> {
+        let id = self.sender.state.next_request();
+        let avoid = failed_upstream.into_iter().collect();
+        let dispatch_request = self.template.dispatch_request(id, self.deadline, avoid);
+        let waited = self.shard.wait(dispatch_request).await;
+        let assignment =
+            waited.map_err(|_| AttemptError::not_sent("no upstream was free to resume"))?;
+        let sent = self.sender.send(
             &self.template,
             &assignment,
             &number,
@@ -368,19 +371,19 @@
             Some(&point),
         );
         match sent.await {
-            Ok(answer) => Ok((answer, assignment)),
-            Err(failed) => {
+            Ok(response) => Ok((response, assignment)),
+            Err(error) => {
                 assignment.health().fail();
-                Err(failed)
+                Err(error)
             }
         }
     }
 }
 
-/// Notices when nothing has come for too long.
+/// Detects an upstream that has sent nothing for too long.
 struct Watchdog {
     limit: Duration,
-    /// Since when something has been waited for.
+    /// The start of the current wait.
     since: Option<Instant>,
     timer: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
 }
@@ -394,21 +397,22 @@
         }
     }
 
-    /// Notes that something came.
-    fn feed(&mut self) {
+    /// Ends the current wait, as data was received.
+    fn reset(&mut self) {
         self.since = None;
     }
 
-    /// Is ready when nothing came for the limit.
+    /// Completes when nothing was received within the limit.
     ///
-    /// The timer runs on while the stream flows and is set anew only when it
-    /// has run out, since setting it for each part would cost more than the
-    /// part itself. Time in which the caller took nothing does not count.
+    /// The timer keeps running while data arrives and is restarted only after it
+    /// has expired, since a restart for each chunk would cost more than the chunk
+    /// itself. Time in which the caller does not read does not count.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let since = *self.since.get_or_insert_with(Instant::now);
         loop {
-            let left = self.limit.saturating_sub(since.elapsed());
-            let start = || -> Pin<Box<dyn Future<Output = ()> + Send>> { Box::pin(sleep(left)) };
+            let remaining = self.limit.saturating_sub(since.elapsed());
+            let start =
+                || -> Pin<Box<dyn Future<Output = ()> + Send>> { Box::pin(sleep(remaining)) };
             let timer = self.timer.get_or_insert_with(start);
             ready!(timer.as_mut().poll(cx));
             self.timer = None;
--- a/crates/sequoiawing_router/src/retry.rs
+++ b/crates/sequoiawing_router/src/retry.rs
@@ -1,4 +1,4 @@
-//! How many retries a customer's requests to a pool may cause.
+//! Limits the retries of a customer's requests to a pool.
 
 #[cfg(test)]
 mod tests;
@@ -6,66 +6,66 @@
 use sequoiawing_types::{Name, Time};
 use std::collections::HashMap;
 
-/// The retries that one first attempt pays for, in thousandths.
-const EARNED_BY_ATTEMPT: u64 = 200;
+/// The credit that each first attempt adds, in thousandths of a retry.
+const CREDIT_PER_ATTEMPT: u64 = 200;
 
-/// The retries that a second pays for, in thousandths, so that a rare caller
-/// is not left without any.
-const EARNED_BY_SECOND: u64 = 1_000;
+/// The credit that is added per second, in thousandths of a retry, so that
+/// callers with few requests can retry as well.
+const CREDIT_PER_SECOND: u64 = 1_000;
 
-/// What one retry costs, in thousandths.
+/// The cost of one retry, in thousandths.
 const RETRY_COST: u64 = 1_000;
 
-/// The most retries that are saved up, in thousandths; a runner that dies with
-/// all its slots in use must not leave its callers without a retry.
-const SAVED_LIMIT: u64 = 100_000;
+/// The maximum credit, in thousandths of a retry. It must cover the requests of
+/// a runner that fails with all of its slots in use.
+const MAX_CREDIT: u64 = 100_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Account {
-    saved: u64,
-    refilled: Time,
+struct Bucket {
+    credit: u64,
+    refilled_at: Time,
 }
 
-/// Limits retries to a share of first attempts, for each customer and pool.
+/// Limits retries to a fraction of first attempts, per customer and pool.
 ///
-/// A pool that fails everything then sees little more than its callers sent,
-/// and one customer's retries take nothing from another's. See
+/// A pool that fails all requests then receives only slightly more than its
+/// callers send, and customers do not use up each other's retries. See
 /// [docs/design/retries.md](../../../docs/design/retries.md).
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryBudget {
-    accounts: HashMap<(Name, Name), Account>,
+    buckets: HashMap<(Name, Name), Bucket>,
 }
 
 impl RetryBudget {
-    /// Notes a first attempt, which pays for a share of a retry.
-    pub(crate) fn note_attempt(&mut self, now: Time, customer: &Name, pool: &Name) {
-        let account = self.account(now, customer, pool);
-        account.saved = (account.saved + EARNED_BY_ATTEMPT).min(SAVED_LIMIT);
+    /// Records a first attempt, which adds credit for a fraction of a retry.
+    pub(crate) fn record_attempt(&mut self, now: Time, customer: &Name, pool: &Name) {
+        let bucket = self.bucket(now, customer, pool);
+        bucket.credit = (bucket.credit + CREDIT_PER_ATTEMPT).min(MAX_CREDIT);
     }
 
-    /// Takes one retry out of the account, if it holds one.
-    pub(crate) fn take_retry(&mut self, now: Time, customer: &Name, pool: &Name) -> bool {
-        let account = self.account(now, customer, pool);
-        let affordable = account.saved >= RETRY_COST;
-        if affordable {
-            account.saved -= RETRY_COST;
+    /// Charges one retry and reports whether the credit allows it.
+    pub(crate) fn try_retry(&mut self, now: Time, customer: &Name, pool: &Name) -> bool {
+        let bucket = self.bucket(now, customer, pool);
+        let is_allowed = bucket.credit >= RETRY_COST;
+        if is_allowed {
+            bucket.credit -= RETRY_COST;
         }
-        affordable
+        is_allowed
     }
 
-    fn account(&mut self, now: Time, customer: &Name, pool: &Name) -> &mut Account {
-        let full = Account {
-            saved: SAVED_LIMIT,
-            refilled: now,
+    fn bucket(&mut self, now: Time, customer: &Name, pool: &Name) -> &mut Bucket {
+        let full = Bucket {
+            credit: MAX_CREDIT,
+            refilled_at: now,
         };
-        let place = (customer.clone(), pool.clone());
-        let account = self.accounts.entry(place).or_insert(full);
-        let micros = u64::try_from(now.since(account.refilled).as_micros()).unwrap_or(u64::MAX);
-        let earned = micros.saturating_mul(EARNED_BY_SECOND) / 1_000_000;
-        if earned > 0 {
-            account.saved = account.saved.saturating_add(earned).min(SAVED_LIMIT);
-            account.refilled = now;
+        let key = (customer.clone(), pool.clone());
+        let bucket = self.buckets.entry(key).or_insert(full);
+        let micros = u64::try_from(now.since(bucket.refilled_at).as_micros()).unwrap_or(u64::MAX);
+        let refill = micros.saturating_mul(CREDIT_PER_SECOND) / 1_000_000;
+        if refill > 0 {
+            bucket.credit = bucket.credit.saturating_add(refill).min(MAX_CREDIT);
+            bucket.refilled_at = now;
         }
-        account
+        bucket
     }
 }
--- a/crates/sequoiawing_router/src/retry/tests.rs
+++ b/crates/sequoiawing_router/src/retry/tests.rs
@@ -1,57 +1,57 @@
-use super::{RETRY_COST, RetryBudget, SAVED_LIMIT};
+use super::{MAX_CREDIT, RETRY_COST, RetryBudget};
 use sequoiawing_types::{Name, Time};
 
-const SAVED: u64 = SAVED_LIMIT / RETRY_COST;
+const MAX_RETRIES: u64 = MAX_CREDIT / RETRY_COST;
 
-fn take(budget: &mut RetryBudget, now: Time, customer: &str) -> bool {
-    budget.take_retry(now, &Name::from(customer), &Name::from("pool"))
+fn try_retry(budget: &mut RetryBudget, now: Time, customer: &str) -> bool {
+    budget.try_retry(now, &Name::from(customer), &Name::from("pool"))
 }
 
 fn drain(budget: &mut RetryBudget, now: Time, customer: &str) -> u64 {
-    (0..10 * SAVED)
-        .filter(|_| take(budget, now, customer))
+    (0..10 * MAX_RETRIES)
+        .filter(|_| try_retry(budget, now, customer))
         .count() as u64
 }
 
 #[test]
-fn a_failing_pool_gets_a_fifth_more_than_its_callers_send() {
+fn retries_add_a_fifth_to_the_load_of_a_failing_pool() {
     let mut budget = RetryBudget::default();
     let now = Time::ZERO;
     drain(&mut budget, now, "daily");
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.note_attempt(now, &Name::from("daily"), &Name::from("pool"));
-        retries += u64::from(take(&mut budget, now, "daily"));
+        budget.record_attempt(now, &Name::from("daily"), &Name::from("pool"));
+        retries += u64::from(try_retry(&mut budget, now, "daily"));
     }
     assert_eq!(retries, 200);
 }
 
 #[test]
-fn a_runner_that_dies_with_its_slots_in_use_is_made_good() {
+fn the_initial_credit_covers_a_runner_that_fails_with_its_slots_in_use() {
     let mut budget = RetryBudget::default();
-    assert_eq!(drain(&mut budget, Time::ZERO, "daily"), SAVED);
+    assert_eq!(drain(&mut budget, Time::ZERO, "daily"), MAX_RETRIES);
 }
 
 #[test]
-fn one_customers_retries_take_nothing_from_another() {
+fn customers_do_not_share_credit() {
     let mut budget = RetryBudget::default();
     drain(&mut budget, Time::ZERO, "daily");
-    assert!(!take(&mut budget, Time::ZERO, "daily"));
-    assert!(take(&mut budget, Time::ZERO, "weekly"));
+    assert!(!try_retry(&mut budget, Time::ZERO, "daily"));
+    assert!(try_retry(&mut budget, Time::ZERO, "weekly"));
 }
 
 #[test]
-fn a_rare_caller_earns_a_retry_a_second() {
+fn credit_grows_by_one_retry_per_second() {
     let mut budget = RetryBudget::default();
     drain(&mut budget, Time::ZERO, "daily");
-    assert!(!take(&mut budget, Time::from_millis(999), "daily"));
-    assert!(take(&mut budget, Time::from_millis(1_000), "daily"));
+    assert!(!try_retry(&mut budget, Time::from_millis(999), "daily"));
+    assert!(try_retry(&mut budget, Time::from_millis(1_000), "daily"));
 }
 
 #[test]
-fn what_is_saved_is_bounded() {
+fn credit_is_limited() {
     let mut budget = RetryBudget::default();
     drain(&mut budget, Time::ZERO, "daily");
     let later = Time::from_millis(3_600_000);
-    assert_eq!(drain(&mut budget, later, "daily"), SAVED);
+    assert_eq!(drain(&mut budget, later, "daily"), MAX_RETRIES);
 }
--- a/crates/sequoiawing_router/src/state.rs
+++ b/crates/sequoiawing_router/src/state.rs
@@ -4,9 +4,9 @@
 use crate::{
     Limiter, RouterSettings,
     controllers::{CentreBudgets, LeaderDemands, Outbox},
-    key_grace::{KeyGrace, wall_micros, wall_millis},
+    key_grace::{KeyGrace, unix_micros, unix_millis},
     limiter::SharedLimiter,
-    open::OpenRequests,
+    open_requests::OpenRequests,
     peers::Peers,
     propose::Preferred,
     retry::RetryBudget,
@@ -102,10 +102,10 @@
             settings.host.clone(),
             CellSettings::default(),
             Time::ZERO,
-            wall_millis(),
+            unix_millis(),
         );
         let meters = Meters::new("sequoiawing-router", &settings.host, &settings.centre);
-        let purses = Arc::new(SharedLimiter::new(wall_millis()));
+        let purses = Arc::new(SharedLimiter::new(unix_millis()));
         let publisher = Publisher::new(settings.centre.clone());
         let (demand_sender, demands) = async_channel::bounded(DEMAND_QUEUE);
         Self {
@@ -125,7 +125,7 @@
             outbox: Mutex::default(),
             publisher: Mutex::new(publisher),
             heard: Mutex::default(),
-            start: wall_micros(),
+            start: unix_micros(),
             withdrawn: Watch::new(Arc::default()),
             grace: KeyGrace::default(),
             withdrawing: Mutex::new(()),
@@ -152,20 +152,20 @@
     /// Notes that a customer's request is sent to a pool for the first time.
     pub(crate) fn note_attempt(&self, customer: &Name, pool: &Name) {
         let mut retries = self.retries.lock();
-        retries.note_attempt(self.now(), customer, pool);
+        retries.record_attempt(self.now(), customer, pool);
     }
 
     /// Takes one retry out of the customer's budget for the pool.
     pub(crate) fn take_retry(&self, customer: &Name, pool: &Name) -> bool {
         let mut retries = self.retries.lock();
-        retries.take_retry(self.now(), customer, pool)
+        retries.try_retry(self.now(), customer, pool)
     }
 
     /// Reports whether keys are honoured though they may have been withdrawn
     /// where this router cannot hear it.
     pub(crate) fn confirms_keys(&self) -> bool {
         let grace = Duration::from_secs(self.settings.key_grace);
-        self.grace.holds(wall_millis(), grace)
+        self.grace.accepts_keys(unix_millis(), grace)
     }
 
     /// Waits until a key is withdrawn.
@@ -205,7 +205,7 @@
         let age = age + since;
         let at = Time::ZERO + self.clock.elapsed().saturating_sub(age);
         let millis = u64::try_from(age.as_millis() + 1).unwrap_or(u64::MAX);
-        self.grace.confirm(wall_millis().saturating_sub(millis));
+        self.grace.confirm(unix_millis().saturating_sub(millis));
         let mut confirmed = self.confirmed.lock();
         *confirmed = Some(confirmed.map_or(at, |known| known.max(at)));
     }
--- a/tests/requests/idempotency.rs
+++ b/tests/requests/idempotency.rs
@@ -5,7 +5,7 @@
     fleet::{Call, Fleet, Setup, wait_until},
 };
 use sequoiawing::{
-    router::{Answer, Exchange, Filter, Next, Plugin, RouterBuilder},
+    router::{Exchange, Filter, FilterFuture, Next, Plugin, RouterBuilder},
     runtime::{sleep, spawn},
     standin::{Fault, ServiceSettings},
 };
@@ -50,7 +50,7 @@
         "stop-at"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(async move {
             if self.0 == Stop::BeforeSend {
                 return self.stop().await;
