--- a/crates/sequoiawing_router/src/controllers/budget.rs
+++ b/crates/sequoiawing_router/src/controllers/budget.rs
@@ -68,7 +68,9 @@
         let now = state.now();
         let tables = state.tables.get();
         if tables.revision.0 > 0 {
-            state.router_budgets.know(now, tables.customers.values());
+            state
+                .purses
+                .register_customers(now, tables.customers.values());
         }
         if now >= last_refresh + SHARE_INTERVAL {
             last_refresh = now;
@@ -79,8 +81,8 @@
         if open.load(Ordering::Relaxed) >= MAX_OPEN_CALLS {
             continue;
         }
-        let requests = state.router_budgets.asks(now);
-        if requests.is_empty() {
+        let asks = state.purses.borrow_requests(now);
+        if asks.is_empty() {
             continue;
         }
         let borrower = state.settings.host.clone();
@@ -91,8 +93,8 @@
         if state.lease().is_some() {
             let replies = state.lend(batch);
             state
-                .router_budgets
-                .hear(state.now(), replies.unwrap_or_default());
+                .purses
+                .handle_replies(state.now(), replies.unwrap_or_default());
             continue;
         }
         let Some(leader) = leader(&state) else {
@@ -108,7 +110,7 @@
                     client.lend(context, batch).await
                 });
             if let Ok(Some(replies)) = call.await {
-                state.router_budgets.hear(state.now(), replies);
+                state.purses.handle_replies(state.now(), replies);
             }
             open.fetch_sub(1, Ordering::Relaxed);
         })
@@ -200,7 +202,7 @@
             continue;
         };
         if !recalled.is_empty() {
-            state.router_budgets.poke(state.now(), &recalled);
+            state.purses.mark_due(state.now(), &recalled);
             sleep(WAIT_INTERVAL).await;
         }
     }
--- a/crates/sequoiawing_router/src/state.rs
+++ b/crates/sequoiawing_router/src/state.rs
@@ -3,10 +3,10 @@
 
 use crate::{
     Limiter, RouterSettings,
-    controllers::{CentreBudgets, Outbox, PlacerHandle},
-    key_grace::{KeyGrace, wall_micros, wall_millis},
+    controllers::{CentreBudgets, LeaderDemands, Outbox},
+    key_grace::{KeyGrace, unix_micros, unix_millis},
     limiter::SharedLimiter,
-    open::OpenRequests,
+    open_requests::OpenRequests,
     peers::Peers,
     propose::PreferredController,
     retry::RetryBudget,
@@ -104,10 +104,10 @@
             settings.host.clone(),
             CellSettings::default(),
             Time::ZERO,
-            wall_millis(),
+            unix_millis(),
         );
         let meters = Meters::new("sequoiawing-router", &settings.host, &settings.centre);
-        let router_budgets = Arc::new(SharedLimiter::new(wall_millis()));
+        let purses = Arc::new(SharedLimiter::new(unix_millis()));
         let publisher = Publisher::new(settings.centre.clone());
         let (demand_sender, demands) = async_channel::bounded(DEMAND_QUEUE);
         Self {
@@ -126,8 +126,8 @@
             registry: Mutex::default(),
             outbox: Mutex::default(),
             publisher: Mutex::new(publisher),
-            peers_heard: Mutex::default(),
-            start: wall_micros(),
+            heard: Mutex::default(),
+            start: unix_micros(),
             withdrawn: Watch::new(Arc::default()),
             key_grace: KeyGrace::default(),
             withdraw_lock: Mutex::new(()),
@@ -151,24 +151,24 @@
         Time::ZERO + self.clock.elapsed()
     }
 
-    /// Records the first attempt of a customer's request in a pool.
-    pub(crate) fn record_attempt(&self, customer: &Name, pool: &Name) {
-        let mut retries = self.retry_budget.lock();
-        retries.note_attempt(self.now(), customer, pool);
+    /// Notes that a customer's request is sent to a pool for the first time.
+    pub(crate) fn note_attempt(&self, customer: &Name, pool: &Name) {
+        let mut retries = self.retries.lock();
+        retries.record_attempt(self.now(), customer, pool);
     }
 
     /// Takes one retry from the customer's retry budget for the pool, and returns
     /// whether it was available.
     pub(crate) fn take_retry(&self, customer: &Name, pool: &Name) -> bool {
-        let mut retries = self.retry_budget.lock();
-        retries.take_retry(self.now(), customer, pool)
+        let mut retries = self.retries.lock();
+        retries.try_retry(self.now(), customer, pool)
     }
 
     /// Returns whether the tables were confirmed recently enough for keys to be
     /// accepted, since later withdrawals may not have reached this router.
     pub(crate) fn confirms_keys(&self) -> bool {
         let grace = Duration::from_secs(self.settings.key_grace);
-        self.key_grace.holds(wall_millis(), grace)
+        self.grace.accepts_keys(unix_millis(), grace)
     }
 
     /// Returns a future that completes when a key is withdrawn.
@@ -209,8 +209,8 @@
         let age = age + delay;
         let at = Time::ZERO + self.clock.elapsed().saturating_sub(age);
         let millis = u64::try_from(age.as_millis() + 1).unwrap_or(u64::MAX);
-        self.key_grace.confirm(wall_millis().saturating_sub(millis));
-        let mut confirmed = self.confirmed_at.lock();
+        self.grace.confirm(unix_millis().saturating_sub(millis));
+        let mut confirmed = self.confirmed.lock();
         *confirmed = Some(confirmed.map_or(at, |known| known.max(at)));
     }
 
--- a/tests/requests/idempotency.rs
+++ b/tests/requests/idempotency.rs
@@ -6,7 +6,7 @@
     fleet::{Call, Fleet, Setup, wait_until},
 };
 use sequoiawing::{
-    router::{Answer, Exchange, Filter, Next, Plugin, RouterBuilder},
+    router::{Exchange, Filter, FilterFuture, Next, Plugin, RouterBuilder},
     runtime::{sleep, spawn},
     standin::{Fault, ServiceSettings},
 };
@@ -51,7 +51,7 @@
         "stop-at"
     }
 
-    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
+    fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> FilterFuture<'a> {
         Box::pin(async move {
             if self.0 == HangPoint::BeforeSend {
                 return self.hang().await;
