--- a/crates/sequoiawing_router/src/attempt.rs
+++ b/crates/sequoiawing_router/src/attempt.rs
@@ -215,7 +215,7 @@
         let remaining = deadline.since(self.state.now());
         let build = || {
             let mut request = template.build(&attempt, remaining, point);
-            assignment.mark(request.headers_mut());
+            assignment.add_priority(request.headers_mut());
             request
         };
         let address = self.state.translations.translate(assignment.address);
@@ -223,7 +223,7 @@
         let response = match timeout(remaining, sent).await {
             Some(Ok(response)) => response,
             Some(Err(ClientError::NotSent(cause))) => return Err(AttemptError::not_sent(cause)),
-            Some(Err(ClientError::NoAnswer(cause) | ClientError::IdleClosed(cause))) => {
+            Some(Err(ClientError::NoResponse(cause) | ClientError::IdleClosed(cause))) => {
                 return Err(AttemptError::unknown(cause));
             }
             None => return Err(AttemptError::unknown("no answer before the deadline")),
@@ -271,9 +271,9 @@
         }
         match client.send(address, build()).await {
             Err(ClientError::IdleClosed(_)) => {
-                let retried = client.send_anew(address, build()).await;
+                let retried = client.send_on_new_connection(address, build()).await;
                 // The first request may have run, whatever the result of the second.
-                retried.map_err(|e| ClientError::NoAnswer(e.to_string()))
+                retried.map_err(|e| ClientError::NoResponse(e.to_string()))
             }
             result => result,
         }
--- a/crates/sequoiawing_router/src/controllers/budget.rs
+++ b/crates/sequoiawing_router/src/controllers/budget.rs
@@ -69,7 +69,7 @@
         let tables = state.tables.get();
         if tables.revision.0 > 0 {
             state
-                .purses
+                .router_budgets
                 .register_customers(now, tables.customers.values());
         }
         if now >= last_refresh + SHARE_INTERVAL {
@@ -81,8 +81,8 @@
         if open.load(Ordering::Relaxed) >= MAX_OPEN_CALLS {
             continue;
         }
-        let asks = state.purses.borrow_requests(now);
-        if asks.is_empty() {
+        let requests = state.router_budgets.borrow_requests(now);
+        if requests.is_empty() {
             continue;
         }
         let borrower = state.settings.host.clone();
@@ -93,7 +93,7 @@
         if state.lease().is_some() {
             let replies = state.lend(batch);
             state
-                .purses
+                .router_budgets
                 .handle_replies(state.now(), replies.unwrap_or_default());
             continue;
         }
@@ -110,7 +110,7 @@
                     client.lend(context, batch).await
                 });
             if let Ok(Some(replies)) = call.await {
-                state.purses.handle_replies(state.now(), replies);
+                state.router_budgets.handle_replies(state.now(), replies);
             }
             open.fetch_sub(1, Ordering::Relaxed);
         })
@@ -202,7 +202,7 @@
             continue;
         };
         if !recalled.is_empty() {
-            state.purses.mark_due(state.now(), &recalled);
+            state.router_budgets.mark_due(state.now(), &recalled);
             sleep(WAIT_INTERVAL).await;
         }
     }
--- a/crates/sequoiawing_router/src/controllers/keys.rs
+++ b/crates/sequoiawing_router/src/controllers/keys.rs
@@ -65,7 +65,7 @@
 
     fn load(&mut self) {
         let Some(file) = self.file() else {
-            self.state.grace.confirm(unix_millis());
+            self.state.key_grace.confirm(unix_millis());
             return;
         };
         match read_keys(&file) {
@@ -75,7 +75,7 @@
                 self.saved = saved;
             }
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
-                self.state.grace.confirm(unix_millis());
+                self.state.key_grace.confirm(unix_millis());
             }
             Err(error) => {
                 let file = file.display();
@@ -112,9 +112,9 @@
     }
 
     fn save(&mut self, all: &BTreeSet<KeyId>) {
-        let confirmed = self.state.grace.last_confirmed();
-        let is_old = confirmed >= self.saved.confirmed + SAVE_INTERVAL;
-        if all.len() == self.saved.withdrawn.len() && !is_old {
+        let confirmed = self.state.key_grace.last_confirmed();
+        let is_outdated = confirmed >= self.saved.confirmed + SAVE_INTERVAL;
+        if all.len() == self.saved.withdrawn.len() && !is_outdated {
             return;
         }
         let saved = SavedKeys {
--- a/crates/sequoiawing_router/src/controllers/store_credits.rs
+++ b/crates/sequoiawing_router/src/controllers/store_credits.rs
@@ -97,7 +97,7 @@
         let used = self.starts.len().saturating_sub(left);
         for charge in self.starts.drain(..used) {
             self.state
-                .purses
+                .router_budgets
                 .settle_charge(now, &self.names.starts, charge, 1);
         }
     }
@@ -106,7 +106,7 @@
     fn release(&mut self, now: Time, loads: u32, adapters: u32) -> Vec<PlaceEvent> {
         for charge in self.starts.drain(..) {
             self.state
-                .purses
+                .router_budgets
                 .settle_charge(now, &self.names.starts, charge, 0);
         }
         // `CreditsLost` reverts to the static shares, which the events after it replace
@@ -138,8 +138,8 @@
             let budget = self.names.starts.clone();
             let decisions = self.decisions.0.clone();
             spawn(async move {
-                let decision = state.purses.charge(now, &budget, 1).await;
-                decided.send(decision).await.ok();
+                let decision = state.router_budgets.charge(now, &budget, 1).await;
+                decisions.send(decision).await.ok();
             })
             .detach();
         }
--- a/crates/sequoiawing_router/src/daemon.rs
+++ b/crates/sequoiawing_router/src/daemon.rs
@@ -220,18 +220,18 @@
         let mut exchange = Exchange::new(self.state.now(), request);
         let request = exchange.request_id.clone();
         let open = OpenRequestGuard::new(self.state.clone(), request.clone());
-        let answered = self.chain.run(&mut exchange).await;
-        let mut answer = answered.unwrap_or_else(|refused| {
-            log::debug!(target: "router", "Request {request} was refused: {}.", refused.message);
+        let result = self.chain.run(&mut exchange).await;
+        let mut response = result.unwrap_or_else(|refused| {
+            log::debug!(target: "router", "Refused request {request}: {}.", refused.message);
             refused.into_response()
         });
-        request_id::set_header(answer.headers_mut(), &request);
-        answer.map(|body| TrackedBody::new(body, open).boxed_unsync())
+        request_id::set_header(response.headers_mut(), &request);
+        response.map(|body| TrackedBody::new(body, open).boxed_unsync())
     }
 
     fn busy_response(&self) -> Vec<u8> {
         let refused = Refused::new(Code::Overloaded, "too many connections are open");
-        refused.with_retry_after(BUSY_RETRY).into_bytes()
+        refused.with_retry_after(BUSY_RETRY_DELAY).into_bytes()
     }
 
     fn parse_error_response(&self, status: StatusCode) -> Vec<u8> {
--- a/crates/sequoiawing_router/src/filters/forward.rs
+++ b/crates/sequoiawing_router/src/filters/forward.rs
@@ -100,14 +100,14 @@
             shard: &shard,
             deadline: exchange.response_deadline(),
         };
-        state.note_attempt(&template.dispatch_request.customer, &exchange.route.pool);
+        state.record_attempt(&template.dispatch_request.customer, &exchange.route.pool);
         loop {
             let dispatch_request = template.dispatch_request(
                 state.next_request(),
                 hedged.deadline,
                 history.avoid.clone(),
             );
-            let waited = shard.wait(dispatch_request).await;
+            let waited = shard.acquire(dispatch_request).await;
             let assignment = waited
                 .map_err(|(refusal, retry_after)| refuse(&refusal, retry_after, history.ran))?;
             let error = match hedged.run(assignment, history).await {
@@ -221,7 +221,7 @@
                 match first_ok(first.as_mut(), second).await {
                     Ok(Either::Left(started)) => Ok(started),
                     Ok(Either::Right(started)) => {
-                        health.fail();
+                        health.mark_failed();
                         Ok(started)
                     }
                     Err((error, last)) => {
@@ -246,7 +246,7 @@
             Ok(response) => Ok((response, assignment)),
             Err(error) => {
                 if error.unhealthy {
-                    assignment.health().fail();
+                    assignment.health().mark_failed();
                 }
                 Err(error.with_upstream(assignment.upstream.clone()))
             }
@@ -257,7 +257,7 @@
     async fn wait_for_hedge_trigger(&self, upstream: &Name) {
         let remaining = self.deadline.since(self.forward.sender.state.now());
         sleep(remaining / 2)
-            .or(self.shard.wait_gone(upstream))
+            .or(self.shard.wait_removed(upstream))
             .await;
     }
 
@@ -276,7 +276,7 @@
         let dispatch_request =
             self.template
                 .dispatch_request(id, self.deadline, vec![slow_upstream]);
-        let waited = self.shard.wait(dispatch_request).await;
+        let waited = self.shard.acquire(dispatch_request).await;
         let assignment =
             waited.map_err(|_| AttemptError::not_sent("no other upstream was free"))?;
         self.send(assignment, number).await
--- a/crates/sequoiawing_router/src/relay.rs
+++ b/crates/sequoiawing_router/src/relay.rs
@@ -103,11 +103,11 @@
 /// see [docs/design/streams.md](../../../docs/design/streams.md).
 pub(crate) struct RelayedBody {
     body: BufferedBody,
-    withdrawn: Option<Withdrawn>,
+    withdrawn: Option<WithdrawalFuture>,
     assignment: Option<Assignment>,
     watchdog: Watchdog,
     /// Present for streams, whose end can be told from a truncation.
-    events: Option<Events>,
+    events: Option<SseSplitter>,
     resume: Option<Box<StreamResume>>,
     resuming: Option<ResumeFuture>,
     /// The error with which the body fails at the next poll.
@@ -185,7 +185,7 @@
 
     /// Handles the end of the upstream's body, with or without an error.
     fn handle_end(&mut self, error: Option<BodyError>) -> Option<BodyError> {
-        if self.events.as_ref().is_some_and(Events::is_done) {
+        if self.events.as_ref().is_some_and(SseSplitter::is_done) {
             return None;
         }
         let is_truncated = self.events.is_some();
@@ -204,7 +204,7 @@
             return false;
         };
         let events = self.events.get_or_insert_default();
-        events.cut();
+        events.discard_partial();
         let failed_upstream = self.assignment.take().map(|a| a.upstream.clone());
         self.resuming = resume.start(events.count(), failed_upstream);
         self.resuming.is_some()
@@ -360,7 +360,7 @@
         let id = self.sender.state.next_request();
         let avoid = failed_upstream.into_iter().collect();
         let dispatch_request = self.template.dispatch_request(id, self.deadline, avoid);
-        let waited = self.shard.wait(dispatch_request).await;
+        let waited = self.shard.acquire(dispatch_request).await;
         let assignment =
             waited.map_err(|_| AttemptError::not_sent("no upstream was free to resume"))?;
         let sent = self.sender.send(
@@ -373,7 +373,7 @@
         match sent.await {
             Ok(response) => Ok((response, assignment)),
             Err(error) => {
-                assignment.health().fail();
+                assignment.health().mark_failed();
                 Err(error)
             }
         }
--- a/crates/sequoiawing_router/src/state.rs
+++ b/crates/sequoiawing_router/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     Limiter, RouterSettings,
-    controllers::{CentreBudgets, LeaderDemands, Outbox},
+    controllers::{CentreBudgets, Outbox, PlacerHandle},
     key_grace::{KeyGrace, unix_micros, unix_millis},
     limiter::SharedLimiter,
     open_requests::OpenRequests,
@@ -107,7 +107,7 @@
             unix_millis(),
         );
         let meters = Meters::new("sequoiawing-router", &settings.host, &settings.centre);
-        let purses = Arc::new(SharedLimiter::new(unix_millis()));
+        let router_budgets = Arc::new(SharedLimiter::new(unix_millis()));
         let publisher = Publisher::new(settings.centre.clone());
         let (demand_sender, demands) = async_channel::bounded(DEMAND_QUEUE);
         Self {
@@ -126,7 +126,7 @@
             registry: Mutex::default(),
             outbox: Mutex::default(),
             publisher: Mutex::new(publisher),
-            heard: Mutex::default(),
+            peers_heard: Mutex::default(),
             start: unix_micros(),
             withdrawn: Watch::new(Arc::default()),
             key_grace: KeyGrace::default(),
@@ -151,16 +151,16 @@
         Time::ZERO + self.clock.elapsed()
     }
 
-    /// Notes that a customer's request is sent to a pool for the first time.
-    pub(crate) fn note_attempt(&self, customer: &Name, pool: &Name) {
-        let mut retries = self.retries.lock();
+    /// Records the first attempt of a customer's request in a pool.
+    pub(crate) fn record_attempt(&self, customer: &Name, pool: &Name) {
+        let mut retries = self.retry_budget.lock();
         retries.record_attempt(self.now(), customer, pool);
     }
 
     /// Takes one retry from the customer's retry budget for the pool, and returns
     /// whether it was available.
     pub(crate) fn take_retry(&self, customer: &Name, pool: &Name) -> bool {
-        let mut retries = self.retries.lock();
+        let mut retries = self.retry_budget.lock();
         retries.try_retry(self.now(), customer, pool)
     }
 
@@ -168,7 +168,7 @@
     /// accepted, since later withdrawals may not have reached this router.
     pub(crate) fn confirms_keys(&self) -> bool {
         let grace = Duration::from_secs(self.settings.key_grace);
-        self.grace.accepts_keys(unix_millis(), grace)
+        self.key_grace.accepts_keys(unix_millis(), grace)
     }
 
     /// Returns a future that completes when a key is withdrawn.
@@ -209,8 +209,8 @@
         let age = age + delay;
         let at = Time::ZERO + self.clock.elapsed().saturating_sub(age);
         let millis = u64::try_from(age.as_millis() + 1).unwrap_or(u64::MAX);
-        self.grace.confirm(unix_millis().saturating_sub(millis));
-        let mut confirmed = self.confirmed.lock();
+        self.key_grace.confirm(unix_millis().saturating_sub(millis));
+        let mut confirmed = self.confirmed_at.lock();
         *confirmed = Some(confirmed.map_or(at, |known| known.max(at)));
     }
 
