--- a/crates/sequoiawing_consensus/src/replica/member_change.rs
+++ b/crates/sequoiawing_consensus/src/replica/member_change.rs
@@ -88,7 +88,7 @@
 
     /// Appends the next membership change that is needed, if any.
     ///
-    /// It adds a learner, promotes one, or removes a voter that was replaced.
+    /// It adds a learner, promotes one, or removes a voter whose disk was replaced.
     pub(super) fn reconcile_members(&mut self, now: Time, out: &mut Vec<Action>) {
         if !self.may_change() || self.shutting_down {
             return;
--- a/crates/sequoiawing_tables/src/tables.rs
+++ b/crates/sequoiawing_tables/src/tables.rs
@@ -12,7 +12,8 @@
     sync::Arc,
 };
 
-/// A version of the tables, which every committed change increments.
+/// A version of the tables, incremented by each accepted edit, membership change
+/// and configuration, but not by claims, allotments and watermarks.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
