--- a/crates/sequoiawing_policy/src/serving/balancer.rs
+++ b/crates/sequoiawing_policy/src/serving/balancer.rs
@@ -64,8 +64,8 @@
 pub enum PickResult {
     /// The request was assigned to this upstream.
     Assigned(Assignment),
-    /// All suitable upstreams are full or backing off; holds the delay before
-    /// the next attempt.
+    /// All suitable upstreams are full or refused a request just now because
+    /// they were full; holds the delay before the next attempt.
     Full(Duration),
     /// No reachable upstream has loaded the model or adapter.
     NotLoaded,
