--- a/benches/request_path.rs
+++ b/benches/request_path.rs
@@ -6,7 +6,7 @@
 //! same run. See docs/design/requests.md.
 
 use sequoiawing::{
-    ctl::{CtlError, Deployment, Host, Operator, TableFile},
+    ctl::{CtlError, Deployment, Host, OperatorClient, TableFile},
     runtime::{self, Clock, sleep, spawn},
     standin::{CustomerSummary, LoadSettings, run_load},
     tables::BearerKey,
@@ -308,7 +308,7 @@
         centre: Name::from("centre"),
         address,
     };
-    let operator = Operator::new(Deployment {
+    let operator = OperatorClient::new(Deployment {
         secret: SECRET.to_owned(),
         controllers: vec![host("control-1", control)],
         routers: vec![host("entry-1", link)],
--- a/crates/sequoiawing_ctl/src/apply.rs
+++ b/crates/sequoiawing_ctl/src/apply.rs
@@ -1,21 +1,21 @@
-use crate::{CtlError, Difference, Operator, Report, TableFile, diff::diff};
+use crate::{CtlError, Difference, OperatorClient, Report, TableFile, diff::diff};
 use sequoiawing_tables::{Change, Command, Outcome, Revision, Tables};
 use sequoiawing_types::{Findings, RequestId};
 use serde::Serialize;
 use std::path::Path;
 
-/// What an apply changed, or would change.
+/// The changes that an apply made, or would make.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Applied {
-    /// The revision that the changes were made from.
+pub struct ApplyReport {
+    /// The revision that the changes are based on.
     pub base: Revision,
-    /// The revision that has them; none when nothing was changed.
+    /// The new revision; `None` if nothing was changed.
     pub accepted: Option<Revision>,
     /// The fields that differ.
     pub changes: Vec<Difference>,
 }
 
-impl Report for Applied {
+impl Report for ApplyReport {
     fn text(&self) -> String {
         let mut lines: Vec<String> = self.changes.iter().map(ToString::to_string).collect();
         lines.push(match self.accepted {
@@ -29,100 +29,102 @@
     }
 }
 
-/// How a file is applied.
+/// Options for applying a file.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct ApplyMode {
-    /// Whether entries are deleted that the file does not have.
+pub struct ApplyOptions {
+    /// Whether to delete entries that are missing in the file.
     pub prune: bool,
-    /// Whether the changes are only shown.
-    pub dry: bool,
-    /// The revision that the file was made from; that in force when none is
-    /// given.
+    /// Whether to show the changes without making them.
+    pub dry_run: bool,
+    /// The revision that the file is based on; the current revision if it is
+    /// `None`.
     pub base: Option<Revision>,
 }
 
-/// Reads a file of tables.
+/// Reads and parses a table file.
 ///
 /// # Errors
 ///
-/// Returns every finding with its place.
+/// Returns all findings, each with the path to the invalid value.
 pub fn read_tables(file: &Path) -> Result<TableFile, CtlError> {
     let place = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| unreadable(&place, &e.to_string()))?;
-    let wanted: TableFile = sequoiawing_settings::parse(&place, &text)?;
-    wanted.check_names(&place).into_result()?;
-    Ok(wanted)
+    let text = std::fs::read_to_string(file).map_err(|e| read_error(&place, &e.to_string()))?;
+    let desired: TableFile = sequoiawing_settings::parse(&place, &text)?;
+    desired.check_unique_names(&place).into_result()?;
+    Ok(desired)
 }
 
-/// Makes the tables what a file says.
+/// Changes the tables to match a file.
 ///
-/// The edit names the revision that the changes were computed from, so that a
-/// racing operator's changes are not overwritten.
+/// The edit carries the revision that the changes were computed from, so that
+/// concurrent changes of another operator are not overwritten.
 pub(crate) async fn apply(
-    operator: &Operator,
-    wanted: &TableFile,
-    mode: ApplyMode,
-) -> Result<Applied, CtlError> {
+    operator: &OperatorClient,
+    desired: &TableFile,
+    options: ApplyOptions,
+) -> Result<ApplyReport, CtlError> {
     let tables = operator.read().await?;
-    apply_from(operator, &tables, wanted, mode).await
+    apply_from(operator, &tables, desired, options).await
 }
 
-/// Makes the tables what a file says, from tables that were read before.
+/// Changes the tables to match a file, starting from tables that were read before.
 pub(crate) async fn apply_from(
-    operator: &Operator,
+    operator: &OperatorClient,
     tables: &Tables,
-    wanted: &TableFile,
-    mode: ApplyMode,
-) -> Result<Applied, CtlError> {
-    let changes = wanted.changes_from(tables, mode.prune);
-    let mut report = Applied {
-        base: mode.base.unwrap_or(tables.revision),
+    desired: &TableFile,
+    options: ApplyOptions,
+) -> Result<ApplyReport, CtlError> {
+    let changes = desired.changes_from(tables, options.prune);
+    let mut report = ApplyReport {
+        base: options.base.unwrap_or(tables.revision),
         accepted: None,
-        changes: wanted.differences_from(tables, mode.prune)?,
+        changes: desired.differences_from(tables, options.prune)?,
     };
-    check_result(tables, &changes)?;
-    if changes.is_empty() || mode.dry {
+    validate_changes(tables, &changes)?;
+    if changes.is_empty() || options.dry_run {
         return Ok(report);
     }
-    report.accepted = Some(match mode.base {
+    report.accepted = Some(match options.base {
         Some(base) => operator.edit(Some(base), changes).await?,
-        None => edit_unless_changed(operator, tables, changes).await?,
+        None => edit_with_rebase(operator, tables, changes).await?,
     });
     Ok(report)
 }
 
-/// Makes changes from tables that were read before, also when their revision
-/// moved on for another reason than an operator's edit.
+/// Commits changes to tables that were read before, also if a newer revision
+/// exists that does not come from an operator's edit.
 ///
-/// Hosts that join and keys that are granted make revisions too, many a day; an
-/// operator must not be told of a conflict with them.
-async fn edit_unless_changed(
-    operator: &Operator,
-    read: &Tables,
+/// Joining hosts and granted keys create new revisions too, many of them a day.
+/// They must not be reported to the operator as a conflict.
+async fn edit_with_rebase(
+    operator: &OperatorClient,
+    initial: &Tables,
     changes: Vec<Change>,
 ) -> Result<Revision, CtlError> {
-    let mut base = read.revision;
+    let mut base = initial.revision;
     for _ in 0..MAX_REBASES {
         let edited = operator.edit(Some(base), changes.clone()).await;
         let Err(CtlError::Conflict { .. }) = edited else {
             return edited;
         };
-        let now = operator.read().await?;
-        if operator.has_request() || TableFile::from_tables(&now) != TableFile::from_tables(read) {
+        let current = operator.read().await?;
+        if operator.has_request_id()
+            || TableFile::from_tables(&current) != TableFile::from_tables(initial)
+        {
             return edited;
         }
-        base = now.revision;
+        base = current.revision;
     }
     operator.edit(Some(base), changes).await
 }
 
-/// How often an edit is made again from a newer revision in which nothing that
-/// operators edit has changed.
+/// The number of times that an edit is rebased onto a newer revision in which
+/// nothing that operators edit has changed.
 const MAX_REBASES: u32 = 5;
 
-/// Checks the tables that the changes would make, so that a dry run finds what
-/// the controllers would.
-fn check_result(tables: &Tables, changes: &[Change]) -> Result<(), CtlError> {
+/// Validates the tables that would result from the changes, so that a dry run
+/// reports the same findings as the controllers.
+fn validate_changes(tables: &Tables, changes: &[Change]) -> Result<(), CtlError> {
     let mut next = tables.published();
     let edit = Command::Edit {
         request: RequestId::random(),
@@ -137,27 +139,27 @@
 
 /// The result of checking a file without a deployment.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Checked {
+pub(crate) struct CheckReport {
     file: String,
     sound: bool,
 }
 
-impl Report for Checked {
+impl Report for CheckReport {
     fn text(&self) -> String {
         format!("{}: the tables are sound", self.file)
     }
 }
 
-/// Checks a file that holds all tables.
-pub(crate) fn check(file: &Path) -> Result<Checked, CtlError> {
-    let wanted = read_tables(file)?;
+/// Checks a file that contains all tables.
+pub(crate) fn check(file: &Path) -> Result<CheckReport, CtlError> {
+    let desired = read_tables(file)?;
     let file = file.display().to_string();
-    wanted.check(&file).into_result()?;
+    desired.check(&file).into_result()?;
     let sound = true;
-    Ok(Checked { file, sound })
+    Ok(CheckReport { file, sound })
 }
 
-/// The tables as a file.
+/// The tables in the format of a table file.
 #[derive(Clone, Debug, Serialize)]
 #[serde(transparent)]
 pub(crate) struct TableReport(pub(crate) TableFile);
@@ -169,11 +171,13 @@
 }
 
 impl TableFile {
-    /// Returns the fields in which the file differs from `tables`.
+    /// Returns the fields that differ between `tables` and the file.
+    ///
+    /// Without `prune`, entries that are missing in the file are not reported.
     ///
     /// # Errors
     ///
-    /// Returns an error when an entry cannot be written as JSON.
+    /// Returns an error if an entry cannot be serialized to JSON.
     pub fn differences_from(
         &self,
         tables: &Tables,
@@ -183,9 +187,9 @@
             serde_json::to_value(file).map_err(|e| CtlError::Unexpected(e.to_string()))
         };
         let old = json(&Self::from_tables(tables))?;
-        let mut wanted = self.clone();
-        wanted.store.get_or_insert_with(|| tables.store.clone());
-        let new = json(&wanted)?;
+        let mut desired = self.clone();
+        desired.store.get_or_insert_with(|| tables.store.clone());
+        let new = json(&desired)?;
         let mut differences = diff("", Some(&old), Some(&new));
         if !prune {
             let is_whole_entry = |d: &Difference| d.place.matches('.').count() == 1;
@@ -195,7 +199,7 @@
     }
 }
 
-fn unreadable(place: &str, problem: &str) -> CtlError {
+fn read_error(place: &str, problem: &str) -> CtlError {
     let mut findings = Findings::default();
     findings.push(place, problem);
     CtlError::Invalid(findings)
--- a/crates/sequoiawing_ctl/src/budgets.rs
+++ b/crates/sequoiawing_ctl/src/budgets.rs
@@ -1,24 +1,24 @@
-use crate::{CtlError, Operator, Report, report::table};
+use crate::{CtlError, OperatorClient, Report, report::format_table};
 use sequoiawing_budget::{AccountView, LenderView, Refill, Share};
 use sequoiawing_types::Name;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The budgets of customers and of the weight store, as their owner knows them.
+/// The budgets of customers and of the weight store, as their lender reports them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BudgetList {
-    /// The budgets by name; those of the weight store begin with `fleet:`.
+    /// The budgets by name; names of the weight store's budgets begin with `fleet:`.
     pub budgets: BTreeMap<Name, LenderView>,
 }
 
-/// Asks the controller that leads.
-pub(crate) async fn list(operator: &Operator) -> Result<BudgetList, CtlError> {
-    let answers = operator
-        .ask_controllers(|client, context| async move { client.budgets(context).await })
+/// Fetches the budgets from the leading controller.
+pub(crate) async fn list(operator: &OperatorClient) -> Result<BudgetList, CtlError> {
+    let replies = operator
+        .call_controllers(|client, context| async move { client.budgets(context).await })
         .await;
     let mut last = CtlError::NoController;
-    for answer in answers {
-        match answer {
+    for reply in replies {
+        match reply {
             Ok(Some(budgets)) => return Ok(BudgetList { budgets }),
             Ok(None) => {}
             Err(error) => last = CtlError::Unreachable(error),
@@ -33,14 +33,14 @@
             "BUDGET", "RATE", "BURST", "BALANCE", "CENTRE", "LENT", "SHARE", "HEARD",
         ];
         let rows = self.budgets.iter().flat_map(|(name, view)| {
-            let total = std::iter::once(total(name, view));
-            total.chain(view.centres.iter().map(centre))
+            let total = std::iter::once(total_row(name, view));
+            total.chain(view.centres.iter().map(centre_row))
         });
-        table(header, rows)
+        format_table(header, rows)
     }
 }
 
-fn total(name: &Name, view: &LenderView) -> Vec<String> {
+fn total_row(name: &Name, view: &LenderView) -> Vec<String> {
     let rate = match view.limits.refill {
         Refill::PerSecond(rate) => format!("{rate}/s"),
         Refill::OnReturn => "slots".to_owned(),
@@ -55,7 +55,7 @@
     vec![name.to_string(), rate, burst, balance, note.to_owned()]
 }
 
-fn centre(account: &AccountView) -> Vec<String> {
+fn centre_row(account: &AccountView) -> Vec<String> {
     let heard = match account.heard {
         None => "never".to_owned(),
         Some(millis) => format!("{}.{} s ago", millis / 1_000, millis % 1_000 / 100),
@@ -65,13 +65,13 @@
     row.extend([
         account.centre.to_string(),
         account.lent.to_string(),
-        percent(account.share),
+        format_percent(account.share),
         format!("{heard}{state}"),
     ]);
     row
 }
 
-fn percent(share: Share) -> String {
+fn format_percent(share: Share) -> String {
     let tenths = share.millionths() / 1_000;
     format!("{}.{} %", tenths / 10, tenths % 10)
 }
--- a/crates/sequoiawing_ctl/src/cli.rs
+++ b/crates/sequoiawing_ctl/src/cli.rs
@@ -2,8 +2,8 @@
 use clap_complete::Shell;
 use std::path::PathBuf;
 
-/// What the end of the help says.
-const EXIT_CODES: &str = "\
+/// The exit codes, shown at the end of the help.
+const EXIT_CODE_HELP: &str = "\
 Exit codes:
   0  done
   1  unexpected failure
@@ -18,7 +18,7 @@
 pub fn command() -> Command {
     Command::new("sequoiactl")
         .about("Operates a sequoiawing deployment")
-        .after_help(EXIT_CODES)
+        .after_help(EXIT_CODE_HELP)
         .subcommand_required(true)
         .arg_required_else_help(true)
         .args(global_args())
@@ -63,31 +63,31 @@
 }
 
 fn apply_command() -> Command {
-    let dry = flag("dry-run", "Shows the changes without making them");
+    let dry = flag_arg("dry-run", "Shows the changes without making them");
     let base = Arg::new("base")
         .long("base")
         .value_parser(value_parser!(u64))
         .help("Revision that the file was made from; a conflict when it is no longer in force");
     Command::new("apply")
         .about("Makes the tables what a file says, and shows each field that differs")
-        .args([file(), prune(), dry, base])
+        .args([file_arg(), prune_arg(), dry, base])
 }
 
 fn check_command() -> Command {
     Command::new("check")
         .about("Checks a file that holds all tables, without a deployment")
-        .arg(file())
+        .arg(file_arg())
 }
 
 fn edit_command() -> Command {
     Command::new("edit")
         .about("Opens the tables in $VISUAL or $EDITOR and applies what was saved")
-        .arg(prune())
+        .arg(prune_arg())
 }
 
 fn keys_command() -> Command {
-    let customer = required("customer", "Customer of the key");
-    let id = required("id", "Public part of the key");
+    let customer = required_arg("customer", "Customer of the key");
+    let id = required_arg("id", "Public part of the key");
     let grant = Command::new("grant").about("Grants a key and shows it once");
     let withdraw = Command::new("withdraw").about("Withdraws a key everywhere, for good");
     let list = Command::new("list").about("Lists the granted keys");
@@ -101,8 +101,8 @@
 }
 
 fn hosts_command() -> Command {
-    let host = required("host", "Host whose router leaves for good");
-    let dead = flag(
+    let host = required_arg("host", "Host whose router leaves for good");
+    let dead = flag_arg(
         "dead",
         "Vouches that the host does not run any more and cannot come back",
     );
@@ -117,7 +117,7 @@
 }
 
 fn controllers_command() -> Command {
-    let host = || required("host", "Host of the controller");
+    let host = || required_arg("host", "Host of the controller");
     let list = Command::new("list").about("Lists the voters and learners of the log");
     let seat = Command::new("seat").about("Lets a host's controller vote once it has caught up");
     let remove = Command::new("remove").about("Takes a controller out of the log for good");
@@ -135,31 +135,35 @@
         .required(true)
         .value_parser(["router", "upstream"])
         .help("What is drained");
-    let name = required("name", "Host of the router, or name of the upstream");
-    let undo = flag("undo", "Lets new work come again");
+    let name = required_arg("name", "Host of the router, or name of the upstream");
+    let undo = flag_arg("undo", "Lets new work come again");
     Command::new("drain")
         .about("Keeps new work from an upstream, or callers from a router, before it is stopped")
         .args([kind, name, undo])
 }
 
 fn explain_command() -> Command {
-    let option = |name: &'static str, help: &'static str| Arg::new(name).long(name).help(help);
-    let path = required("path", "Path of the request");
-    let host = option("host-header", "Host header of the request").default_value("");
-    let tokens = option("tokens", "Tokens of prompt and answer")
+    let optional_arg =
+        |name: &'static str, help: &'static str| Arg::new(name).long(name).help(help);
+    let path = required_arg("path", "Path of the request");
+    let host = optional_arg("host-header", "Host header of the request").default_value("");
+    let tokens = optional_arg("tokens", "Tokens of prompt and answer")
         .value_parser(value_parser!(u64))
         .default_value("0");
-    let key = option("key", "Public part of the key").conflicts_with("customer");
+    let key = optional_arg("key", "Public part of the key").conflicts_with("customer");
     Command::new("explain")
         .about("Says why a request would be admitted or refused, and where it would go")
         .args([path, host, tokens, key])
-        .arg(option("customer", "Customer for whom it runs"))
-        .arg(option("model", "Model, or model:adapter"))
-        .arg(option("on", "Router that is asked; all when none is named"))
+        .arg(optional_arg("customer", "Customer for whom it runs"))
+        .arg(optional_arg("model", "Model, or model:adapter"))
+        .arg(optional_arg(
+            "on",
+            "Router that is asked; all when none is named",
+        ))
 }
 
 fn status_command() -> Command {
-    let check = flag("check", "Exits with 6 when an error is found");
+    let check = flag_arg("check", "Exits with 6 when an error is found");
     Command::new("status")
         .about("Shows what is wrong, and every host")
         .arg(check)
@@ -168,7 +172,7 @@
 fn dump_command() -> Command {
     Command::new("dump")
         .about("Prints the state of a host's processes, without secrets")
-        .arg(required("host", "Host of the processes"))
+        .arg(required_arg("host", "Host of the processes"))
 }
 
 fn completions_command() -> Command {
@@ -181,22 +185,22 @@
         .arg(shell)
 }
 
-fn file() -> Arg {
+fn file_arg() -> Arg {
     Arg::new("file")
         .required(true)
         .value_parser(value_parser!(PathBuf))
         .help("File with customers, pools and routes")
 }
 
-fn prune() -> Arg {
-    flag("prune", "Deletes what the file does not have")
+fn prune_arg() -> Arg {
+    flag_arg("prune", "Deletes what the file does not have")
 }
 
-fn required(name: &'static str, help: &'static str) -> Arg {
+fn required_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).required(true).help(help)
 }
 
-fn flag(name: &'static str, help: &'static str) -> Arg {
+fn flag_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .action(ArgAction::SetTrue)
--- a/crates/sequoiawing_ctl/src/controllers.rs
+++ b/crates/sequoiawing_ctl/src/controllers.rs
@@ -1,9 +1,9 @@
-use crate::{CtlError, Operator, Report, report::table};
+use crate::{CtlError, OperatorClient, Report, report::format_table};
 use sequoiawing_consensus::{Member, MemberChange};
 use sequoiawing_types::Name;
 use serde::Serialize;
 
-/// The voters and learners of the log, as the leader has them.
+/// The voters and learners of the replicated log, as the leader knows them.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub(crate) struct MemberList {
     members: Vec<Member>,
@@ -12,22 +12,22 @@
 impl Report for MemberList {
     fn text(&self) -> String {
         let rows = self.members.iter().map(|m| {
-            let part = if m.voter { "voter" } else { "learner" };
-            vec![m.host.to_string(), m.address.to_string(), part.to_owned()]
+            let role = if m.voter { "voter" } else { "learner" };
+            vec![m.host.to_string(), m.address.to_string(), role.to_owned()]
         });
-        table(["CONTROLLER", "ADDRESS", "PART"], rows)
+        format_table(["CONTROLLER", "ADDRESS", "PART"], rows)
     }
 }
 
-/// Lists the members by the controller whose term is the newest.
-pub(crate) async fn list(operator: &Operator) -> Result<MemberList, CtlError> {
-    let answers = operator
-        .ask_controllers(|client, context| async move { client.status(context).await })
+/// Lists the members as reported by the controller with the highest term.
+pub(crate) async fn list(operator: &OperatorClient) -> Result<MemberList, CtlError> {
+    let replies = operator
+        .call_controllers(|client, context| async move { client.status(context).await })
         .await;
     let mut last = CtlError::NoController;
     let mut statuses = Vec::new();
-    for answer in answers {
-        match answer {
+    for reply in replies {
+        match reply {
             Ok(status) => statuses.push(status),
             Err(error) => last = CtlError::Unreachable(error),
         }
@@ -39,14 +39,14 @@
     Ok(MemberList { members })
 }
 
-/// A change of members that was committed.
+/// A committed change of the members.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Changed {
+pub(crate) struct MemberChangeReport {
     host: Name,
     seated: bool,
 }
 
-impl Report for Changed {
+impl Report for MemberChangeReport {
     fn text(&self) -> String {
         let host = &self.host;
         if self.seated {
@@ -57,22 +57,28 @@
     }
 }
 
-/// Gives a host a seat among the voters.
-pub(crate) async fn seat(operator: &Operator, host: &str) -> Result<Changed, CtlError> {
+/// Adds the controller of a host to the voters.
+pub(crate) async fn add_voter(
+    operator: &OperatorClient,
+    host: &str,
+) -> Result<MemberChangeReport, CtlError> {
     let host = Name::from(host);
     operator
         .change_members(MemberChange::AddVoter(host.clone()))
         .await?;
     let seated = true;
-    Ok(Changed { host, seated })
+    Ok(MemberChangeReport { host, seated })
 }
 
-/// Takes a host's seat away.
-pub(crate) async fn remove(operator: &Operator, host: &str) -> Result<Changed, CtlError> {
+/// Removes the controller of a host from the members.
+pub(crate) async fn remove_member(
+    operator: &OperatorClient,
+    host: &str,
+) -> Result<MemberChangeReport, CtlError> {
     let host = Name::from(host);
     operator
         .change_members(MemberChange::Remove(host.clone()))
         .await?;
     let seated = false;
-    Ok(Changed { host, seated })
+    Ok(MemberChangeReport { host, seated })
 }
--- a/crates/sequoiawing_ctl/src/deployment.rs
+++ b/crates/sequoiawing_ctl/src/deployment.rs
@@ -4,26 +4,26 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A host that runs a process of the system.
+/// A host that runs a controller or a router.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Host {
-    /// Its name.
+    /// The name of the host.
     pub host: Name,
-    /// Its data centre.
+    /// The data centre that the host is in.
     pub centre: Name,
-    /// Where its process takes the calls of operators.
+    /// The address at which its process accepts calls from operators.
     pub address: SocketAddr,
 }
 
-/// What an operator must know to reach a deployment.
+/// The addresses and the secret with which an operator reaches a deployment.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Deployment {
-    /// The secret that all processes of the deployment share.
+    /// The secret shared by all processes of the deployment.
     pub secret: String,
-    /// The controllers.
+    /// The controllers of the deployment.
     pub controllers: Vec<Host>,
-    /// The routers.
+    /// The routers of the deployment; routers that have joined need not be listed.
     pub routers: Vec<Host>,
 }
 
--- a/crates/sequoiawing_ctl/src/diff.rs
+++ b/crates/sequoiawing_ctl/src/diff.rs
@@ -2,22 +2,22 @@
 use serde_json::Value;
 use std::fmt;
 
-/// One field that a change sets, adds or removes.
+/// A field that a change sets, adds or removes.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Difference {
     /// The path of the field, such as `customers.daily.rate`.
     pub place: String,
-    /// The value before, if there was one.
+    /// The value before the change; `None` if the field is added.
     pub old: Option<Value>,
-    /// The value after, if there is one.
+    /// The value after the change; `None` if the field is removed.
     pub new: Option<Value>,
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let place = &self.place;
-        let old = self.old.as_ref().map(shorten);
-        let new = self.new.as_ref().map(shorten);
+        let old = self.old.as_ref().map(abbreviate);
+        let new = self.new.as_ref().map(abbreviate);
         match (old, new) {
             (Some(old), Some(new)) => write!(f, "~ {place}: {old} -> {new}"),
             (None, Some(new)) => write!(f, "+ {place}: {new}"),
@@ -27,13 +27,14 @@
     }
 }
 
-/// The longest value that is shown to people, in characters.
-const SHOWN: usize = 120;
+/// The maximum length of a value in text output, in characters.
+const MAX_VALUE_CHARS: usize = 120;
 
-/// Writes a value for people, who read a whole pool better in its file.
-fn shorten(value: &Value) -> String {
+/// Formats a value for text output; long values, such as whole pools, are cut off,
+/// since they are easier to read in the table file.
+fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(SHOWN) {
+    match text.char_indices().nth(MAX_VALUE_CHARS) {
         None => text,
         Some((end, _)) => format!("{}…", &text[..end]),
     }
@@ -41,15 +42,20 @@
 
 /// Compares two values field by field.
 ///
-/// Entries of a list that have a name are compared by it; plain values of a
-/// list are compared as a set.
+/// List entries that have a name are matched by name; other list entries are
+/// compared as a set.
 pub fn diff(place: &str, old: Option<&Value>, new: Option<&Value>) -> Vec<Difference> {
-    let mut out = Vec::new();
-    compare(place, old, new, &mut out);
-    out
+    let mut differences = Vec::new();
+    compare(place, old, new, &mut differences);
+    differences
 }
 
-fn compare(place: &str, old: Option<&Value>, new: Option<&Value>, out: &mut Vec<Difference>) {
+fn compare(
+    place: &str,
+    old: Option<&Value>,
+    new: Option<&Value>,
+    differences: &mut Vec<Difference>,
+) {
     match (old, new) {
         (Some(old), Some(new)) if old == new => {}
         (Some(Value::Object(old)), Some(Value::Object(new))) => {
@@ -57,11 +63,13 @@
                 .keys()
                 .chain(new.keys().filter(|k| !old.contains_key(*k)));
             for key in keys {
-                compare(&join(place, key), old.get(key), new.get(key), out);
+                compare(&join(place, key), old.get(key), new.get(key), differences);
             }
         }
-        (Some(Value::Array(old)), Some(Value::Array(new))) => compare_lists(place, old, new, out),
-        _ => out.push(Difference {
+        (Some(Value::Array(old)), Some(Value::Array(new))) => {
+            compare_lists(place, old, new, differences)
+        }
+        _ => differences.push(Difference {
             place: place.to_owned(),
             old: old.cloned(),
             new: new.cloned(),
@@ -69,20 +77,25 @@
     }
 }
 
-fn compare_lists(place: &str, old: &[Value], new: &[Value], out: &mut Vec<Difference>) {
+fn compare_lists(place: &str, old: &[Value], new: &[Value], differences: &mut Vec<Difference>) {
     for value in old {
         match name(value) {
-            Some(key) => compare(&join(place, key), Some(value), named(new, key), out),
-            None if !new.contains(value) => compare(place, Some(value), None, out),
+            Some(key) => compare(
+                &join(place, key),
+                Some(value),
+                find_named(new, key),
+                differences,
+            ),
+            None if !new.contains(value) => compare(place, Some(value), None, differences),
             None => {}
         }
     }
     for value in new {
         match name(value) {
-            Some(key) if named(old, key).is_none() => {
-                compare(&join(place, key), None, Some(value), out);
+            Some(key) if find_named(old, key).is_none() => {
+                compare(&join(place, key), None, Some(value), differences);
             }
-            None if !old.contains(value) => compare(place, None, Some(value), out),
+            None if !old.contains(value) => compare(place, None, Some(value), differences),
             _ => {}
         }
     }
@@ -92,7 +105,7 @@
     value.get("name").and_then(Value::as_str)
 }
 
-fn named<'v>(list: &'v [Value], key: &str) -> Option<&'v Value> {
+fn find_named<'v>(list: &'v [Value], key: &str) -> Option<&'v Value> {
     list.iter().find(|v| name(v) == Some(key))
 }
 
--- a/crates/sequoiawing_ctl/src/dump.rs
+++ b/crates/sequoiawing_ctl/src/dump.rs
@@ -1,60 +1,62 @@
-use crate::{CtlError, Host, Operator, Report};
+use crate::{CtlError, Host, OperatorClient, Report};
 use sequoiawing_types::Name;
 use serde::Serialize;
 use serde_json::Value;
 
-/// The state of the processes of one host, without secrets.
+/// The internal state of the processes of one host, without secrets.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub(crate) struct Dump {
+pub(crate) struct HostDump {
     host: Name,
     router: Option<Value>,
     controller: Option<Value>,
 }
 
-impl Report for Dump {
+impl Report for HostDump {
     fn text(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 }
 
-/// Fetches the whole state of the processes of one host.
-pub(crate) async fn dump(operator: &Operator, host: &str) -> Result<Dump, CtlError> {
+/// Fetches the internal state of the processes of one host.
+pub(crate) async fn dump(operator: &OperatorClient, host: &str) -> Result<HostDump, CtlError> {
     let host = Name::from(host);
-    let tables = operator.glance().await;
-    let is_named = |h: &Host| h.host == host;
-    let mut routers = operator.hosts(tables.as_ref());
-    routers.retain(is_named);
-    let answers = operator
-        .ask_routers(&routers, |client, context| async move {
+    let tables = operator.read_any().await;
+    let has_name = |h: &Host| h.host == host;
+    let mut routers = operator.routers(tables.as_ref());
+    routers.retain(has_name);
+    let replies = operator
+        .call_routers(&routers, |client, context| async move {
             client.dump(context).await
         })
         .await;
-    let router = parse(answers.into_iter().next())?;
-    let position = operator.deployment.controllers.iter().position(is_named);
-    let controller = match position {
+    let router = parse_dump(replies.into_iter().next())?;
+    let index = operator.deployment.controllers.iter().position(has_name);
+    let controller = match index {
         None => None,
         Some(i) => {
-            let mut answers = operator
-                .ask_controllers(|client, context| async move { client.dump(context).await })
+            let mut replies = operator
+                .call_controllers(|client, context| async move { client.dump(context).await })
                 .await;
-            parse(Some(answers.swap_remove(i)))?
+            parse_dump(Some(replies.swap_remove(i)))?
         }
     };
     if router.is_none() && controller.is_none() {
         return Err(CtlError::UnknownHost(host));
     }
-    Ok(Dump {
+    Ok(HostDump {
         host,
         router,
         controller,
     })
 }
 
-fn parse(answer: Option<crate::operator::Called<String>>) -> Result<Option<Value>, CtlError> {
-    let Some(answer) = answer else {
+fn parse_dump(
+    reply: Option<crate::operator::CallResult<String>>,
+) -> Result<Option<Value>, CtlError> {
+    let Some(reply) = reply else {
         return Ok(None);
     };
-    let text = answer.map_err(CtlError::Unreachable)?;
+    let text = reply.map_err(CtlError::Unreachable)?;
     let value = serde_json::from_str(&text);
     value
         .map(Some)
--- a/crates/sequoiawing_ctl/src/edit.rs
+++ b/crates/sequoiawing_ctl/src/edit.rs
@@ -1,16 +1,16 @@
 use crate::{
-    Applied, ApplyMode, CtlError, Operator, TableFile,
+    ApplyOptions, ApplyReport, CtlError, OperatorClient, TableFile,
     apply::{apply_from, read_tables},
 };
 use std::{fs, path::Path, process::Command};
 
-/// The editor when neither `VISUAL` nor `EDITOR` names one.
+/// The editor that is used when neither `VISUAL` nor `EDITOR` is set.
 const DEFAULT_EDITOR: &str = "vi";
 
-/// Opens the tables in the operator's editor and applies what it saved.
+/// Opens the tables in the operator's editor and applies the saved file.
 ///
-/// The file stays when its changes were not accepted, so that no work is lost.
-pub(crate) async fn edit(operator: &Operator, prune: bool) -> Result<Applied, CtlError> {
+/// The file is kept if its changes are not accepted, so that no work is lost.
+pub(crate) async fn edit(operator: &OperatorClient, prune: bool) -> Result<ApplyReport, CtlError> {
     let tables = operator.read().await?;
     let name = format!(
         "sequoiawing-{}-{}.json",
@@ -21,16 +21,16 @@
     let text = serde_json::to_string_pretty(&TableFile::from_tables(&tables));
     let text = text.map_err(|e| CtlError::Unexpected(e.to_string()))?;
     fs::write(&file, text).map_err(|e| CtlError::Editor(e.to_string()))?;
-    let applied = async {
+    let result = async {
         open_editor(&file)?;
-        let wanted = read_tables(&file)?;
-        let mode = ApplyMode {
+        let desired = read_tables(&file)?;
+        let options = ApplyOptions {
             prune,
-            ..ApplyMode::default()
+            ..ApplyOptions::default()
         };
-        apply_from(operator, &tables, &wanted, mode).await
+        apply_from(operator, &tables, &desired, options).await
     };
-    match applied.await {
+    match result.await {
         Ok(report) => {
             fs::remove_file(&file).ok();
             Ok(report)
@@ -43,8 +43,8 @@
 }
 
 fn open_editor(file: &Path) -> Result<(), CtlError> {
-    let named = std::env::var("VISUAL").or_else(|_| std::env::var("EDITOR"));
-    let editor = named.unwrap_or_else(|_| DEFAULT_EDITOR.to_owned());
+    let configured = std::env::var("VISUAL").or_else(|_| std::env::var("EDITOR"));
+    let editor = configured.unwrap_or_else(|_| DEFAULT_EDITOR.to_owned());
     let mut words = editor.split_whitespace();
     let program = words.next().unwrap_or(DEFAULT_EDITOR);
     let status = Command::new(program).args(words).arg(file).status();
--- a/crates/sequoiawing_ctl/src/error.rs
+++ b/crates/sequoiawing_ctl/src/error.rs
@@ -3,61 +3,62 @@
 use sequoiawing_types::{Findings, Name, RequestId};
 use thiserror::Error;
 
-/// Why a command of an operator failed.
+/// The reason that an operator command failed.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// A file or the tables after the change are not sound.
+    /// A file is invalid, or the change would make the tables invalid.
     #[error("{0}")]
     Invalid(#[from] Findings),
-    /// Another operator changed the tables in the meantime.
+    /// Another operator changed the tables concurrently.
     #[error("conflict: the change was made from {base}, but {current} is in force")]
     Conflict {
-        /// The revision that the change was made from.
+        /// The revision that the change is based on.
         base: Revision,
-        /// The revision in force.
+        /// The current revision.
         current: Revision,
     },
     /// No controller could be reached.
     #[error("no controller answered; the last one said: {0}")]
     Unreachable(LinkError),
-    /// The controllers could not carry the command out.
+    /// The controllers could not execute the command.
     #[error("the controllers refused: {0}")]
     Refused(ControlError),
-    /// Whether a change was made is not known.
+    /// It is unknown whether the change was committed.
     #[error("whether the change was made is not known: {cause}")]
     Uncertain {
-        /// The identifier to send the same change again with.
+        /// The request ID with which the same change can be sent again.
         request: RequestId,
-        /// What the controllers said last.
+        /// The last error that a controller returned.
         cause: String,
     },
-    /// The deployment names no controller.
+    /// The deployment file lists no controller.
     #[error("the deployment names no controller")]
     NoController,
-    /// No host of that name is known.
+    /// No host has this name.
     #[error("no host '{0}' is known")]
     UnknownHost(Name),
-    /// The members of a data centre cannot change yet.
+    /// An earlier membership change of the data centre has not settled yet.
     #[error("the cell of '{0}' is still settling from an earlier change")]
     Unsettled(Name),
-    /// The answer does not fit the question.
+    /// A reply has an unexpected type, or a value could not be converted to or from
+    /// JSON.
     #[error("unexpected answer: {0}")]
     Unexpected(String),
-    /// Some hosts did not confirm.
+    /// Some hosts did not confirm the command.
     #[error("not confirmed by: {0}")]
     Unconfirmed(String),
     /// The editor could not be run.
     #[error("the editor failed: {0}")]
     Editor(String),
-    /// Something is wrong with the deployment.
+    /// `status --check` found this number of errors in the deployment.
     #[error("{0} problems")]
-    Unwell(usize),
+    ProblemsFound(usize),
 }
 
 impl CtlError {
     /// Returns the exit code of the process.
     ///
-    /// They are listed in [docs/OPERATORS.md](../../../docs/OPERATORS.md).
+    /// The exit codes are listed in [docs/OPERATORS.md](../../../docs/OPERATORS.md).
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Unexpected(_) | Self::Editor(_) => 1,
@@ -65,12 +66,12 @@
             Self::Conflict { .. } => 3,
             Self::Unreachable(_) | Self::Refused(_) | Self::NoController | Self::Unsettled(_) => 4,
             Self::Unconfirmed(_) => 5,
-            Self::Unwell(_) => 6,
+            Self::ProblemsFound(_) => 6,
             Self::Uncertain { .. } => 7,
         }
     }
 
-    /// Returns what the operator may do about it.
+    /// Returns a hint on how to resolve the error.
     pub fn hint(&self) -> Option<String> {
         let hint = match self {
             Self::Conflict { current, .. } => {
@@ -109,7 +110,7 @@
         Some(hint)
     }
 
-    /// Reports whether a change may have been made nonetheless.
+    /// Returns whether the change may have been committed despite the error.
     pub(crate) fn is_uncertain(&self) -> bool {
         match self {
             Self::Refused(error) => *error == ControlError::Uncertain,
@@ -121,9 +122,9 @@
         }
     }
 
-    /// Keeps an error after which a change may have been made, so that a later,
-    /// harmless one does not hide it.
-    pub(crate) fn or_worse(self, later: Self) -> Self {
+    /// Returns the later error, unless the change may have been committed despite
+    /// this one: a later error that rules a commit out must not hide that.
+    pub(crate) fn or_later(self, later: Self) -> Self {
         if self.is_uncertain() { self } else { later }
     }
 }
--- a/crates/sequoiawing_ctl/src/explain.rs
+++ b/crates/sequoiawing_ctl/src/explain.rs
@@ -1,21 +1,21 @@
-use crate::{CtlError, Operator, Report, report::table};
+use crate::{CtlError, OperatorClient, Report, report::format_table};
 use sequoiawing_link::{ExplainRequest, Explanation, Verdict};
 use sequoiawing_types::Name;
 use serde::Serialize;
 
-/// What each host would do with a request.
+/// How each router would handle a request.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Explanations(pub Vec<Explanation>);
 
 impl Report for Explanations {
     fn text(&self) -> String {
-        let parts: Vec<String> = self.0.iter().map(explain_host).collect();
-        parts.join("\n\n")
+        let texts: Vec<String> = self.0.iter().map(format_explanation).collect();
+        texts.join("\n\n")
     }
 }
 
-fn explain_host(explanation: &Explanation) -> String {
+fn format_explanation(explanation: &Explanation) -> String {
     let rows = explanation.steps.iter().map(|step| {
         let verdict = match step.verdict {
             Verdict::Passes => "passes",
@@ -24,40 +24,43 @@
         };
         vec![step.part.clone(), verdict.to_owned(), step.reason.clone()]
     });
-    let head = format!("{} at {}", explanation.host, explanation.revision);
-    format!("{head}\n{}", table(["PART", "VERDICT", "REASON"], rows))
+    let heading = format!("{} at {}", explanation.host, explanation.revision);
+    format!(
+        "{heading}\n{}",
+        format_table(["PART", "VERDICT", "REASON"], rows)
+    )
 }
 
-/// Asks one router, or all of them, what would become of a request.
+/// Asks one router, or all of them, how it would handle a request.
 pub(crate) async fn explain(
-    operator: &Operator,
+    operator: &OperatorClient,
     host: Option<&str>,
-    question: ExplainRequest,
+    request: ExplainRequest,
 ) -> Result<Explanations, CtlError> {
-    let tables = operator.glance().await;
-    let mut hosts = operator.hosts(tables.as_ref());
+    let tables = operator.read_any().await;
+    let mut routers = operator.routers(tables.as_ref());
     if let Some(host) = host {
-        hosts.retain(|h| h.host.as_str() == host);
-        if hosts.is_empty() {
+        routers.retain(|h| h.host.as_str() == host);
+        if routers.is_empty() {
             return Err(CtlError::UnknownHost(Name::from(host)));
         }
     }
-    let answers = operator
-        .ask_routers(&hosts, |client, context| {
-            let question = question.clone();
-            async move { client.explain(context, question).await }
+    let replies = operator
+        .call_routers(&routers, |client, context| {
+            let request = request.clone();
+            async move { client.explain(context, request).await }
         })
         .await;
     let mut explanations = Vec::new();
-    let mut missing = Vec::new();
-    for (host, answer) in hosts.iter().zip(answers) {
-        match answer {
+    let mut failures = Vec::new();
+    for (router, reply) in routers.iter().zip(replies) {
+        match reply {
             Ok(explanation) => explanations.push(explanation),
-            Err(error) => missing.push(format!("{} ({error})", host.host)),
+            Err(error) => failures.push(format!("{} ({error})", router.host)),
         }
     }
     if explanations.is_empty() {
-        return Err(CtlError::Unconfirmed(missing.join(", ")));
+        return Err(CtlError::Unconfirmed(failures.join(", ")));
     }
     Ok(Explanations(explanations))
 }
--- a/crates/sequoiawing_ctl/src/hosts.rs
+++ b/crates/sequoiawing_ctl/src/hosts.rs
@@ -1,10 +1,10 @@
-use crate::{CtlError, Operator, Report, report::table};
+use crate::{CtlError, OperatorClient, Report, report::format_table};
 use sequoiawing_tables::{Command, Outcome, Revision};
 use sequoiawing_types::Name;
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// A host and what it runs.
+/// A host and the process that it runs.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 struct HostRow {
     host: Name,
@@ -31,14 +31,14 @@
                 if h.joined { "yes" } else { "no" }.to_owned(),
             ]
         });
-        table(["HOST", "CENTRE", "ADDRESS", "RUNS", "JOINED"], rows)
+        format_table(["HOST", "CENTRE", "ADDRESS", "RUNS", "JOINED"], rows)
     }
 }
 
-/// Lists the controllers of the deployment file, and all routers.
-pub(crate) async fn list(operator: &Operator) -> Result<HostList, CtlError> {
-    let tables = operator.glance().await;
-    let joined = |host: &Name| tables.as_ref().is_some_and(|t| t.hosts.contains_key(host));
+/// Lists the controllers in the deployment file and all routers.
+pub(crate) async fn list(operator: &OperatorClient) -> Result<HostList, CtlError> {
+    let tables = operator.read_any().await;
+    let has_joined = |host: &Name| tables.as_ref().is_some_and(|t| t.hosts.contains_key(host));
     let controllers = operator.deployment.controllers.iter().map(|h| HostRow {
         host: h.host.clone(),
         centre: h.centre.clone(),
@@ -47,10 +47,10 @@
         joined: true,
     });
     let routers = operator
-        .hosts(tables.as_ref())
+        .routers(tables.as_ref())
         .into_iter()
         .map(|h| HostRow {
-            joined: joined(&h.host),
+            joined: has_joined(&h.host),
             host: h.host,
             centre: h.centre,
             address: h.address,
@@ -61,14 +61,14 @@
     })
 }
 
-/// A host that was retired.
+/// The result of retiring a host.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Retired {
+pub(crate) struct RetireReport {
     host: Name,
     revision: Revision,
 }
 
-impl Report for Retired {
+impl Report for RetireReport {
     fn text(&self) -> String {
         format!("{} is retired from {} on", self.host, self.revision)
     }
@@ -76,10 +76,10 @@
 
 /// Removes a router from its data centre's cell.
 pub(crate) async fn retire(
-    operator: &Operator,
+    operator: &OperatorClient,
     host: &str,
     dead: bool,
-) -> Result<Retired, CtlError> {
+) -> Result<RetireReport, CtlError> {
     let host = Name::from(host);
     let tables = operator.read().await?;
     if !tables.hosts.contains_key(&host) {
@@ -90,7 +90,7 @@
         dead,
     };
     match operator.propose(&command).await? {
-        Outcome::Accepted(revision) => Ok(Retired { host, revision }),
+        Outcome::Accepted(revision) => Ok(RetireReport { host, revision }),
         Outcome::Unsettled(centre) => Err(CtlError::Unsettled(centre)),
         other => Err(CtlError::Unexpected(format!("{other:?}"))),
     }
--- a/crates/sequoiawing_ctl/src/lib.rs
+++ b/crates/sequoiawing_ctl/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' command line.
 //!
 //! `sequoiactl` reads a deployment file that names controllers and routers,
-//! and speaks to them over the authenticated link. Each command returns a
-//! [`Report`], printed as a table for people or as JSON for scripts. See
+//! and calls them over the authenticated link. Each command returns a
+//! [`Report`], printed as a table or as JSON. See
 //! [docs/OPERATORS.md](../../../docs/OPERATORS.md).
 
 mod apply;
@@ -25,17 +25,17 @@
 mod table_file;
 mod upstreams;
 
-pub use apply::{Applied, ApplyMode, read_tables};
+pub use apply::{ApplyOptions, ApplyReport, read_tables};
 pub use budgets::BudgetList;
 pub use cli::command;
 pub use deployment::{Deployment, Host};
 pub use diff::{Difference, diff};
 pub use error::CtlError;
 pub use explain::Explanations;
-pub use operator::Operator;
+pub use operator::OperatorClient;
 pub use problems::{Problem, Severity, find_problems};
-pub use report::{Output, Report, render};
+pub use report::{OutputFormat, Report, render};
 pub use run::{print_error, run};
-pub use status::{Overview, Reported};
+pub use status::{HostReport, Overview};
 pub use table_file::TableFile;
-pub use upstreams::{Sighting, UpstreamList};
+pub use upstreams::{ListedUpstream, UpstreamList};
--- a/crates/sequoiawing_ctl/src/operator.rs
+++ b/crates/sequoiawing_ctl/src/operator.rs
@@ -9,140 +9,141 @@
 use sequoiawing_types::RequestId;
 use std::{collections::BTreeMap, future::Future, net::SocketAddr, time::Duration};
 
-/// How long one call may take.
-pub(crate) const CALL_LIMIT: Duration = Duration::from_secs(3);
+/// The timeout of one call.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often all controllers are tried before a command is given up.
-const ROUNDS: u32 = 5;
+/// The number of times that all controllers are tried before a command fails.
+const MAX_ROUNDS: u32 = 5;
 
-/// How long the operator waits before all controllers are tried again.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
+/// The delay before all controllers are tried again.
+const ROUND_DELAY: Duration = Duration::from_millis(300);
 
-/// What a call to another process brought.
-pub(crate) type Called<T> = Result<T, LinkError>;
+/// The result of a call to another process.
+pub(crate) type CallResult<T> = Result<T, LinkError>;
 
-/// An operator's connection to a deployment.
+/// A client through which an operator manages a deployment.
 #[derive(Debug)]
-pub struct Operator {
+pub struct OperatorClient {
     pub(crate) deployment: Deployment,
     secret: Secret,
-    request: Option<RequestId>,
+    request_id: Option<RequestId>,
 }
 
-impl Operator {
-    /// Returns a connection that is made on the first call.
+impl OperatorClient {
+    /// Creates a client that connects on the first call.
     pub fn new(deployment: Deployment) -> Self {
         let secret = Secret::from(deployment.secret.as_str());
         Self {
             deployment,
             secret,
-            request: None,
+            request_id: None,
         }
     }
 
-    /// Sets the identifier of the next change, so that one whose reply was lost
-    /// can be sent again by hand.
+    /// Sets the request ID of the next change, so that an operator can send a
+    /// change again whose reply was lost.
     #[must_use]
-    pub fn with_request(mut self, request: Option<RequestId>) -> Self {
-        self.request = request;
+    pub fn with_request_id(mut self, request_id: Option<RequestId>) -> Self {
+        self.request_id = request_id;
         self
     }
 
-    /// Reports whether the next change may be a resend.
-    pub(crate) fn has_request(&self) -> bool {
-        self.request.is_some()
+    /// Returns whether the next change may be a resend.
+    pub(crate) fn has_request_id(&self) -> bool {
+        self.request_id.is_some()
     }
 
-    /// Returns clients for the controllers.
-    pub(crate) fn controllers(&self) -> Vec<Stub<ControlClient>> {
+    /// Returns stubs for the controllers in the deployment file.
+    pub(crate) fn controller_stubs(&self) -> Vec<Stub<ControlClient>> {
         let hosts = self.deployment.controllers.iter();
-        hosts.map(|h| self.controller(h.address)).collect()
+        hosts.map(|h| self.controller_stub(h.address)).collect()
     }
 
-    fn controller(&self, address: SocketAddr) -> Stub<ControlClient> {
+    fn controller_stub(&self, address: SocketAddr) -> Stub<ControlClient> {
         Stub::new(address, self.secret.clone())
     }
 
-    /// Returns the routers that the deployment file names, and those that have
-    /// joined by themselves; the tables know the newer address.
-    pub(crate) fn hosts(&self, tables: Option<&Tables>) -> Vec<Host> {
-        let listed = self.deployment.routers.iter().cloned();
-        let mut hosts: BTreeMap<_, Host> = listed.map(|h| (h.host.clone(), h)).collect();
+    /// Returns the routers in the deployment file and those that have joined on
+    /// their own. For a router in both, the address in the tables is newer.
+    pub(crate) fn routers(&self, tables: Option<&Tables>) -> Vec<Host> {
+        let configured = self.deployment.routers.iter().cloned();
+        let mut routers: BTreeMap<_, Host> = configured.map(|h| (h.host.clone(), h)).collect();
         for joined in tables.into_iter().flat_map(|t| t.hosts.values()) {
             let host = Host {
                 host: joined.host.clone(),
                 centre: joined.centre.clone(),
                 address: joined.address,
             };
-            hosts.insert(host.host.clone(), host);
+            routers.insert(host.host.clone(), host);
         }
-        hosts.into_values().collect()
+        routers.into_values().collect()
     }
 
-    /// Calls all routers at the same time.
-    pub(crate) async fn ask_routers<F, R, T>(&self, hosts: &[Host], make: F) -> Vec<Called<T>>
+    /// Calls the routers concurrently and returns the results in their order.
+    pub(crate) async fn call_routers<F, R, T>(&self, routers: &[Host], rpc: F) -> Vec<CallResult<T>>
     where
         F: Fn(PeerClient, Context) -> R + Clone + Send,
         R: Future<Output = Result<T, RpcError>> + Send,
         T: Send,
     {
-        let calls = hosts.iter().map(|h| {
+        let calls = routers.iter().map(|h| {
             let stub: Stub<PeerClient> = Stub::new(h.address, self.secret.clone());
-            let make = make.clone();
-            async move { stub.call(CALL_LIMIT, make).await }
+            let rpc = rpc.clone();
+            async move { stub.call(CALL_TIMEOUT, rpc).await }
         });
         join_all(calls).await
     }
 
-    /// Calls all controllers at the same time.
-    pub(crate) async fn ask_controllers<F, R, T>(&self, make: F) -> Vec<Called<T>>
+    /// Calls all controllers concurrently and returns the results in the order of the
+    /// deployment file.
+    pub(crate) async fn call_controllers<F, R, T>(&self, rpc: F) -> Vec<CallResult<T>>
     where
         F: Fn(ControlClient, Context) -> R + Clone + Send,
         R: Future<Output = Result<T, RpcError>> + Send,
         T: Send,
     {
-        let calls = self.controllers().into_iter().map(|stub| {
-            let make = make.clone();
-            async move { stub.call(CALL_LIMIT, make).await }
+        let calls = self.controller_stubs().into_iter().map(|stub| {
+            let rpc = rpc.clone();
+            async move { stub.call(CALL_TIMEOUT, rpc).await }
         });
         join_all(calls).await
     }
 
-    /// Reads the tables as they are now.
+    /// Reads the current tables from the leader.
     ///
     /// # Errors
     ///
-    /// Returns an error when no controller could answer.
+    /// Returns an error if no controller can serve the read.
     pub async fn read(&self) -> Result<Tables, CtlError> {
-        self.ask_leader(|client, context| async move { client.read(context).await })
+        self.call_leader(|client, context| async move { client.read(context).await })
             .await
     }
 
-    /// Reads the tables of any controller that answers at once, for a look at a
-    /// deployment that may not have a leader.
-    pub(crate) async fn glance(&self) -> Option<Tables> {
+    /// Calls every controller once and returns the newest tables among the replies,
+    /// so that a deployment that may not have a leader can be inspected.
+    pub(crate) async fn read_any(&self) -> Option<Tables> {
         let answers = self
-            .ask_controllers(|client, context| async move { client.read(context).await })
+            .call_controllers(|client, context| async move { client.read(context).await })
             .await;
         let tables = answers.into_iter().filter_map(|a| a.ok()?.ok());
         tables.max_by_key(|t| t.revision)
     }
 
-    /// Makes changes from a revision, or whatever the tables are when `base` is
-    /// `None`, and returns the revision that has them.
+    /// Commits changes that are based on the revision `base`, or on the current
+    /// revision if it is `None`, and returns the new revision.
     ///
-    /// All resends carry the same request id, so the changes are made once.
+    /// All resends carry the same request ID, so the changes are made only once.
     ///
     /// # Errors
     ///
-    /// Returns an error when the changes conflict, are not sound, or could not
-    /// be committed.
+    /// Returns an error if the changes conflict with another edit, are invalid, or
+    /// cannot be committed.
     pub async fn edit(
         &self,
         base: Option<Revision>,
         changes: Vec<Change>,
     ) -> Result<Revision, CtlError> {
-        let request = self.request.clone().unwrap_or_else(RequestId::random);
+        let request = self.request_id.clone().unwrap_or_else(RequestId::random);
         let command = Command::Edit {
             request: request.clone(),
             base,
@@ -161,54 +162,60 @@
         }
     }
 
-    /// Has a command committed by the leader.
+    /// Proposes a command to the leader and returns its outcome once it is committed.
     pub(crate) async fn propose(&self, command: &Command) -> Result<Outcome, CtlError> {
-        self.ask_leader(|client, context| {
+        self.call_leader(|client, context| {
             let command = command.clone();
             async move { client.propose(context, command).await }
         })
         .await
     }
 
-    /// Has a change of the log's members committed by the leader.
+    /// Proposes a change of the controllers' membership to the leader.
     pub(crate) async fn change_members(&self, change: MemberChange) -> Result<(), CtlError> {
-        self.ask_leader(|client, context| {
+        self.call_leader(|client, context| {
             let change = change.clone();
             async move { client.change_members(context, change).await }
         })
         .await
     }
 
-    /// Calls one controller after the other, the leader as soon as one names it,
-    /// until one carries the call out.
-    async fn ask_leader<F, R, T>(&self, make: F) -> Result<T, CtlError>
+    /// Calls one controller after the other until one of them executes the call.
+    ///
+    /// When a controller names the leader, the leader is called next.
+    async fn call_leader<F, R, T>(&self, rpc: F) -> Result<T, CtlError>
     where
         F: Fn(ControlClient, Context) -> R + Clone + Send,
         R: Future<Output = Result<Result<T, ControlError>, RpcError>> + Send,
         T: Send,
     {
         let mut last = CtlError::NoController;
-        for _ in 0..ROUNDS {
-            let mut named = None;
-            for stub in self.controllers() {
-                let stub = named.take().map_or(stub, |leader| self.controller(leader));
-                match stub.call(CALL_LIMIT, make.clone()).await {
+        for _ in 0..MAX_ROUNDS {
+            let mut leader_address = None;
+            for stub in self.controller_stubs() {
+                let stub = leader_address
+                    .take()
+                    .map_or(stub, |leader| self.controller_stub(leader));
+                match stub.call(CALL_TIMEOUT, rpc.clone()).await {
                     Ok(Ok(value)) => return Ok(value),
                     Ok(Err(error)) => {
                         if let ControlError::NotLeader { leader } = &error {
-                            named = *leader;
+                            leader_address = *leader;
                         }
-                        last = last.or_worse(CtlError::Refused(error));
+                        last = last.or_later(CtlError::Refused(error));
                     }
-                    Err(error) => last = last.or_worse(CtlError::Unreachable(error)),
+                    Err(error) => last = last.or_later(CtlError::Unreachable(error)),
                 }
             }
-            if let Some(leader) = named
-                && let Ok(Ok(value)) = self.controller(leader).call(CALL_LIMIT, make.clone()).await
+            if let Some(leader) = leader_address
+                && let Ok(Ok(value)) = self
+                    .controller_stub(leader)
+                    .call(CALL_TIMEOUT, rpc.clone())
+                    .await
             {
                 return Ok(value);
             }
-            sleep(ROUND_PAUSE).await;
+            sleep(ROUND_DELAY).await;
         }
         Err(last)
     }
--- a/crates/sequoiawing_ctl/src/report.rs
+++ b/crates/sequoiawing_ctl/src/report.rs
@@ -2,41 +2,41 @@
 use comfy_table::{ContentArrangement, Table, presets};
 use serde::Serialize;
 
-/// The form of the output.
+/// The format of the output.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Output {
-    /// Tables and sentences for people.
+pub enum OutputFormat {
+    /// Human-readable tables and text.
     #[default]
     Table,
-    /// JSON for scripts.
+    /// JSON, for use in scripts.
     Json,
 }
 
-/// The result of a command, for people and for scripts.
+/// The result of a command, printed as text or as JSON.
 pub trait Report: Serialize {
-    /// Returns the text for people, without a line break at its end.
+    /// Returns the human-readable text, without a trailing newline.
     fn text(&self) -> String;
 }
 
-/// Writes a report in the chosen form.
+/// Renders a report in the given format.
 ///
 /// # Errors
 ///
-/// Returns an error when the report cannot be written as JSON.
-pub fn render<R>(report: &R, output: Output) -> Result<String, CtlError>
+/// Returns an error if the report cannot be serialized to JSON.
+pub fn render<R>(report: &R, format: OutputFormat) -> Result<String, CtlError>
 where
     R: Report,
 {
-    match output {
-        Output::Table => Ok(report.text()),
-        Output::Json => {
+    match format {
+        OutputFormat::Table => Ok(report.text()),
+        OutputFormat::Json => {
             serde_json::to_string_pretty(report).map_err(|e| CtlError::Unexpected(e.to_string()))
         }
     }
 }
 
-/// Lays out rows under a header.
-pub(crate) fn table<H, R>(header: H, rows: R) -> String
+/// Formats rows as a table with a header.
+pub(crate) fn format_table<H, R>(header: H, rows: R) -> String
 where
     H: IntoIterator<Item = &'static str>,
     R: IntoIterator<Item = Vec<String>>,
--- a/crates/sequoiawing_ctl/src/status.rs
+++ b/crates/sequoiawing_ctl/src/status.rs
@@ -1,53 +1,53 @@
 use crate::{
-    CtlError, Host, Operator, Problem, Report, UpstreamList, find_problems, operator::Called,
-    report::table, upstreams,
+    CtlError, Host, OperatorClient, Problem, Report, UpstreamList, find_problems,
+    operator::CallResult, report::format_table, upstreams,
 };
 use sequoiawing_link::{ControlStatus, RouterStatus};
 use sequoiawing_tables::{Revision, Tables};
 use sequoiawing_types::Name;
 use serde::Serialize;
 
-/// One host of the deployment, and what it reported.
+/// The status that a host reported, or the reason that it did not.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Reported<S> {
-    /// The host.
+pub struct HostReport<S> {
+    /// The name of the host.
     pub host: Name,
-    /// Its data centre.
+    /// The data centre that the host is in.
     pub centre: Name,
-    /// What it reported, unless it did not answer.
+    /// The reported status; `None` if the host did not reply.
     pub status: Option<S>,
-    /// Why it did not answer.
+    /// The reason that the host did not reply.
     pub problem: Option<String>,
 }
 
-/// What all hosts report, and what is wrong.
+/// The status of all hosts and the problems of the deployment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Overview {
-    /// The newest revision that any host reported.
+    /// The newest revision reported by any host.
     pub revision: Revision,
-    /// The controllers.
-    pub controllers: Vec<Reported<ControlStatus>>,
-    /// The routers.
-    pub routers: Vec<Reported<RouterStatus>>,
-    /// The upstreams that are alive.
+    /// The reports of the controllers.
+    pub controllers: Vec<HostReport<ControlStatus>>,
+    /// The reports of the routers.
+    pub routers: Vec<HostReport<RouterStatus>>,
+    /// The number of live upstreams.
     pub upstreams: usize,
-    /// What is wrong, the worst first.
+    /// The problems, the most severe first.
     pub problems: Vec<Problem>,
 }
 
 impl Overview {
-    /// Puts what the hosts reported together and finds what is wrong.
+    /// Combines the reports of the hosts and finds the problems.
     pub fn new(
-        controllers: Vec<Reported<ControlStatus>>,
-        routers: Vec<Reported<RouterStatus>>,
+        controllers: Vec<HostReport<ControlStatus>>,
+        routers: Vec<HostReport<RouterStatus>>,
         tables: Option<&Tables>,
         upstreams: &UpstreamList,
     ) -> Self {
-        let controlled = controllers.iter().filter_map(|c| c.status.as_ref());
-        let routed = routers.iter().filter_map(|r| r.status.as_ref());
-        let revisions = controlled
+        let controller_statuses = controllers.iter().filter_map(|c| c.status.as_ref());
+        let router_statuses = routers.iter().filter_map(|r| r.status.as_ref());
+        let revisions = controller_statuses
             .map(|s| s.revision)
-            .chain(routed.map(|s| s.revision));
+            .chain(router_statuses.map(|s| s.revision));
         let mut overview = Self {
             revision: revisions.max().unwrap_or_default(),
             controllers,
@@ -100,7 +100,7 @@
             None => vec![row.host.to_string(), "unreachable".to_owned()],
         });
         let header = ["CONTROLLER", "ROLE", "TERM", "COMMIT", "REVISION", "DISK"];
-        table(header, rows)
+        format_table(header, rows)
     }
 
     fn router_text(&self) -> String {
@@ -114,19 +114,19 @@
             "UPSTREAMS",
             "STATE",
         ];
-        table(header, self.routers.iter().map(router_row))
+        format_table(header, self.routers.iter().map(router_row))
     }
 }
 
-fn router_row(row: &Reported<RouterStatus>) -> Vec<String> {
-    let mut cells = vec![row.host.to_string(), row.centre.to_string()];
+fn router_row(row: &HostReport<RouterStatus>) -> Vec<String> {
+    let mut columns = vec![row.host.to_string(), row.centre.to_string()];
     let Some(s) = &row.status else {
-        cells.extend(["-", "-", "-", "-", "-", "unreachable"].map(str::to_owned));
-        return cells;
+        columns.extend(["-", "-", "-", "-", "-", "unreachable"].map(str::to_owned));
+        return columns;
     };
     let leader = s.leader.as_ref().map_or("-", |l| l.as_str());
     let state = if s.draining { "draining" } else { "serving" };
-    cells.extend([
+    columns.extend([
         s.revision.to_string(),
         leader.to_owned(),
         s.open.to_string(),
@@ -134,22 +134,22 @@
         s.upstreams.to_string(),
         state.to_owned(),
     ]);
-    cells
+    columns
 }
 
-/// Asks every host at the same time.
-pub(crate) async fn status(operator: &Operator) -> Result<Overview, CtlError> {
-    let tables = operator.glance().await;
-    let hosts = operator.hosts(tables.as_ref());
+/// Fetches the status of all hosts concurrently.
+pub(crate) async fn status(operator: &OperatorClient) -> Result<Overview, CtlError> {
+    let tables = operator.read_any().await;
+    let router_hosts = operator.routers(tables.as_ref());
     let controllers =
-        operator.ask_controllers(|client, context| async move { client.status(context).await });
-    let routers = operator.ask_routers(&hosts, |client, context| async move {
+        operator.call_controllers(|client, context| async move { client.status(context).await });
+    let routers = operator.call_routers(&router_hosts, |client, context| async move {
         client.status(context).await
     });
-    let upstreams = upstreams::collect(operator, &hosts);
+    let upstreams = upstreams::fetch(operator, &router_hosts);
     let (controllers, routers, upstreams) = futures::join!(controllers, routers, upstreams);
-    let controllers = reported(&operator.deployment.controllers, controllers);
-    let routers = reported(&hosts, routers);
+    let controllers = to_host_reports(&operator.deployment.controllers, controllers);
+    let routers = to_host_reports(&router_hosts, routers);
     Ok(Overview::new(
         controllers,
         routers,
@@ -158,14 +158,14 @@
     ))
 }
 
-fn reported<S>(hosts: &[Host], answers: Vec<Called<S>>) -> Vec<Reported<S>> {
-    let pairs = hosts.iter().zip(answers);
-    let rows = pairs.map(|(host, answer)| {
-        let problem = answer.as_ref().err().map(ToString::to_string);
-        Reported {
+fn to_host_reports<S>(hosts: &[Host], replies: Vec<CallResult<S>>) -> Vec<HostReport<S>> {
+    let pairs = hosts.iter().zip(replies);
+    let rows = pairs.map(|(host, reply)| {
+        let problem = reply.as_ref().err().map(ToString::to_string);
+        HostReport {
             host: host.host.clone(),
             centre: host.centre.clone(),
-            status: answer.ok(),
+            status: reply.ok(),
             problem,
         }
     });
--- a/crates/sequoiawing_ctl/src/table_file.rs
+++ b/crates/sequoiawing_ctl/src/table_file.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The tables as operators write them.
+/// The tables in the form that operators edit.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct TableFile {
@@ -13,37 +13,37 @@
     pub pools: Vec<Pool>,
     /// The routes.
     pub routes: Vec<Route>,
-    /// What the weight store bears; left as it is when it is not named.
+    /// The limits of the weight store; unchanged if missing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub store: Option<Store>,
 }
 
 impl TableFile {
-    /// Checks a file that holds all tables, as the controllers will.
+    /// Checks a file that contains all tables by the rules of the controllers.
     pub fn check(&self, place: &str) -> Findings {
-        let mut findings = self.check_names(place);
+        let mut findings = self.check_unique_names(place);
         for finding in &self.to_tables().check() {
             findings.push(format!("{place}: {}", finding.place), &finding.problem);
         }
         findings
     }
 
-    /// Checks that no name stands twice.
-    pub(crate) fn check_names(&self, place: &str) -> Findings {
+    /// Checks that the names in each table are unique.
+    pub(crate) fn check_unique_names(&self, place: &str) -> Findings {
         let mut findings = Findings::default();
-        check_twice(
+        check_duplicates(
             &mut findings,
             place,
             "customers",
             self.customers.iter().map(|c| &c.name),
         );
-        check_twice(
+        check_duplicates(
             &mut findings,
             place,
             "pools",
             self.pools.iter().map(|p| &p.name),
         );
-        check_twice(
+        check_duplicates(
             &mut findings,
             place,
             "routes",
@@ -52,7 +52,7 @@
         findings
     }
 
-    /// Returns the tables that the file alone would make.
+    /// Returns tables that contain only the entries of the file.
     fn to_tables(&self) -> Tables {
         let mut tables = Tables::default();
         let customers = self.customers.iter().cloned();
@@ -65,7 +65,7 @@
         tables
     }
 
-    /// Returns the file that would make these tables.
+    /// Creates a file that contains the entries of `tables`.
     pub fn from_tables(tables: &Tables) -> Self {
         Self {
             customers: tables.customers.values().cloned().collect(),
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Returns the changes that lead from `tables` to the file.
+    /// Returns the changes that make `tables` match the file.
     ///
-    /// Entries that the file does not have are deleted only with `prune`.
+    /// Entries that are missing in the file are deleted only with `prune`.
     pub fn changes_from(&self, tables: &Tables, prune: bool) -> Vec<Change> {
         let mut changes = Vec::new();
         for customer in &self.customers {
@@ -118,8 +118,9 @@
     }
 }
 
-/// Reports names that stand twice in a table, of which one would be lost.
-fn check_twice<'n, I>(findings: &mut Findings, place: &str, table: &str, names: I)
+/// Reports duplicate names in a table, since only the last entry of each name would
+/// be kept.
+fn check_duplicates<'n, I>(findings: &mut Findings, place: &str, table: &str, names: I)
 where
     I: Iterator<Item = &'n Name>,
 {
--- a/crates/sequoiawing_ctl/src/upstreams.rs
+++ b/crates/sequoiawing_ctl/src/upstreams.rs
@@ -1,58 +1,61 @@
-use crate::{CtlError, Host, Operator, Report, report::table};
+use crate::{CtlError, Host, OperatorClient, Report, report::format_table};
 use sequoiawing_fleet::UpstreamState;
 use sequoiawing_tables::{Change, Revision};
 use sequoiawing_types::Name;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An upstream as the routers that answered know it.
+/// An upstream as known by the routers that answered.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Sighting {
-    /// Its newest announcement.
+pub struct ListedUpstream {
+    /// The newest state that the upstream announced.
     pub state: UpstreamState,
-    /// The routers that know it.
+    /// The number of routers that know the upstream.
     pub seen: usize,
 }
 
-/// All upstreams that are alive.
+/// All live upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct UpstreamList {
-    /// The upstreams in the order of names.
-    pub upstreams: Vec<Sighting>,
-    /// The routers that answered.
+    /// The upstreams, sorted by name.
+    pub upstreams: Vec<ListedUpstream>,
+    /// The number of routers that answered.
     pub answered: usize,
 }
 
 impl UpstreamList {
-    /// Merges what several routers know; the newest announcement counts.
-    pub fn merge<I>(answers: I) -> Self
+    /// Merges the replies of several routers; the newest state of each upstream is
+    /// kept.
+    pub fn merge<I>(replies: I) -> Self
     where
         I: IntoIterator<Item = Vec<UpstreamState>>,
     {
-        let mut known: BTreeMap<Name, Sighting> = BTreeMap::new();
+        let mut by_name: BTreeMap<Name, ListedUpstream> = BTreeMap::new();
         let mut answered = 0;
-        for states in answers {
+        for states in replies {
             answered += 1;
             for state in states {
-                merge_one(&mut known, state);
+                merge_state(&mut by_name, state);
             }
         }
         Self {
-            upstreams: known.into_values().collect(),
+            upstreams: by_name.into_values().collect(),
             answered,
         }
     }
 }
 
-fn merge_one(known: &mut BTreeMap<Name, Sighting>, state: UpstreamState) {
+fn merge_state(by_name: &mut BTreeMap<Name, ListedUpstream>, state: UpstreamState) {
     let version = |s: &UpstreamState| (s.epoch, s.sequence);
-    let sighting = known.entry(state.name.clone()).or_insert_with(|| Sighting {
-        state: state.clone(),
-        seen: 0,
-    });
-    sighting.seen += 1;
-    if version(&state) > version(&sighting.state) {
-        sighting.state = state;
+    let listed = by_name
+        .entry(state.name.clone())
+        .or_insert_with(|| ListedUpstream {
+            state: state.clone(),
+            seen: 0,
+        });
+    listed.seen += 1;
+    if version(&state) > version(&listed.state) {
+        listed.state = state;
     }
 }
 
@@ -68,18 +71,18 @@
                 s.name.to_string(),
                 s.pool.to_string(),
                 s.centre.to_string(),
-                describe(s).to_owned(),
+                state_label(s).to_owned(),
                 format!("{}/{}", s.running, s.slots),
-                names(&s.loaded),
+                join_names(&s.loaded),
                 s.adapters.len().to_string(),
                 format!("{}/{}", u.seen, self.answered),
             ]
         });
-        table(HEADER, rows)
+        format_table(HEADER, rows)
     }
 }
 
-fn describe(state: &UpstreamState) -> &'static str {
+fn state_label(state: &UpstreamState) -> &'static str {
     if state.leaving {
         "leaving"
     } else if !state.loading.is_empty() {
@@ -89,7 +92,7 @@
     }
 }
 
-fn names(list: &[Name]) -> String {
+fn join_names(list: &[Name]) -> String {
     let names: Vec<&str> = list.iter().map(Name::as_str).collect();
     if names.is_empty() {
         "-".to_owned()
@@ -98,33 +101,33 @@
     }
 }
 
-/// Asks every router which upstreams it knows.
-pub(crate) async fn collect(operator: &Operator, hosts: &[Host]) -> UpstreamList {
-    let answers = operator
-        .ask_routers(hosts, |client, context| async move {
+/// Fetches the upstreams that the routers know.
+pub(crate) async fn fetch(operator: &OperatorClient, routers: &[Host]) -> UpstreamList {
+    let replies = operator
+        .call_routers(routers, |client, context| async move {
             client.upstreams(context).await
         })
         .await;
-    UpstreamList::merge(answers.into_iter().filter_map(Result::ok))
+    UpstreamList::merge(replies.into_iter().filter_map(Result::ok))
 }
 
 /// Lists all upstreams.
-pub(crate) async fn list(operator: &Operator) -> Result<UpstreamList, CtlError> {
-    let tables = operator.glance().await;
-    let hosts = operator.hosts(tables.as_ref());
-    Ok(collect(operator, &hosts).await)
+pub(crate) async fn list(operator: &OperatorClient) -> Result<UpstreamList, CtlError> {
+    let tables = operator.read_any().await;
+    let routers = operator.routers(tables.as_ref());
+    Ok(fetch(operator, &routers).await)
 }
 
-/// What a drain changed.
+/// The result of a drain command.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Drained {
+pub(crate) struct DrainReport {
     name: Name,
     kind: &'static str,
     draining: bool,
     revision: Option<Revision>,
 }
 
-impl Report for Drained {
+impl Report for DrainReport {
     fn text(&self) -> String {
         let (kind, name) = (self.kind, &self.name);
         match (self.draining, self.revision) {
@@ -141,12 +144,12 @@
     }
 }
 
-/// Keeps new work from an upstream, or lets it come again.
-pub(crate) async fn drain(
-    operator: &Operator,
+/// Stops new requests to an upstream, or allows them again with `undo`.
+pub(crate) async fn drain_upstream(
+    operator: &OperatorClient,
     upstream: &str,
     undo: bool,
-) -> Result<Drained, CtlError> {
+) -> Result<DrainReport, CtlError> {
     let name = Name::from(upstream);
     let change = if undo {
         Change::Undrain(name.clone())
@@ -154,7 +157,7 @@
         Change::Drain(name.clone())
     };
     let revision = operator.edit(None, vec![change]).await?;
-    Ok(Drained {
+    Ok(DrainReport {
         name,
         kind: "upstream",
         draining: !undo,
@@ -162,27 +165,27 @@
     })
 }
 
-/// Makes a router's health check fail, or succeed again.
+/// Makes a router's health check fail, or pass again with `undo`.
 pub(crate) async fn drain_router(
-    operator: &Operator,
+    operator: &OperatorClient,
     host: &str,
     undo: bool,
-) -> Result<Drained, CtlError> {
-    let tables = operator.glance().await;
-    let hosts = operator.hosts(tables.as_ref());
+) -> Result<DrainReport, CtlError> {
+    let tables = operator.read_any().await;
+    let routers = operator.routers(tables.as_ref());
     let name = Name::from(host);
-    let Some(found) = hosts.into_iter().find(|h| h.host == name) else {
+    let Some(router) = routers.into_iter().find(|h| h.host == name) else {
         return Err(CtlError::UnknownHost(name));
     };
-    let answers = operator
-        .ask_routers(&[found], move |client, context| async move {
+    let replies = operator
+        .call_routers(&[router], move |client, context| async move {
             client.drain(context, !undo).await
         })
         .await;
-    let answer = answers.into_iter().next();
-    let answer = answer.ok_or(CtlError::NoController)?;
-    let status = answer.map_err(|e| CtlError::Unconfirmed(format!("{name} ({e})")))?;
-    Ok(Drained {
+    let reply = replies.into_iter().next();
+    let reply = reply.ok_or(CtlError::NoController)?;
+    let status = reply.map_err(|e| CtlError::Unconfirmed(format!("{name} ({e})")))?;
+    Ok(DrainReport {
         name,
         kind: "router",
         draining: status.draining,
@@ -190,8 +193,8 @@
     })
 }
 
-/// Returns the pools that have an upstream which takes new work.
+/// Returns the pools that have an upstream which accepts new requests.
 pub(crate) fn served_pools(list: &UpstreamList) -> BTreeSet<&Name> {
-    let taking = list.upstreams.iter().filter(|u| !u.state.leaving);
-    taking.map(|u| &u.state.pool).collect()
+    let available = list.upstreams.iter().filter(|u| !u.state.leaving);
+    available.map(|u| &u.state.pool).collect()
 }
--- a/crates/sequoiawing_ctl/tests/ctl/apply.rs
+++ b/crates/sequoiawing_ctl/tests/ctl/apply.rs
@@ -1,4 +1,4 @@
-//! Checks what apply shows and what it refuses.
+//! Tests of the changes that apply shows and the findings that it reports.
 
 use sequoiawing_ctl::{Report, TableFile, read_tables};
 use sequoiawing_settings::parse;
@@ -25,7 +25,7 @@
 }"#;
 
 fn file(text: &str) -> TableFile {
-    parse("tables.json", text).expect("the file is sound")
+    parse("tables.json", text).expect("the table file is valid")
 }
 
 fn tables(text: &str) -> Tables {
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn deletions_are_shown_when_they_are_made() {
+fn deletions_are_shown_only_with_prune() {
     let pruned = lines(true);
     assert!(pruned.contains("- customers.weekly"), "{pruned}");
     assert!(!lines(false).contains("weekly"));
 }
 
 #[test]
-fn a_file_as_it_was_written_differs_in_nothing() {
+fn an_unchanged_file_has_no_differences() {
     let tables = tables(BEFORE);
     let differences = TableFile::from_tables(&tables).differences_from(&tables, true);
     assert_eq!(differences.expect("the tables can be compared"), []);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_file_that_is_missing_is_named() {
+fn a_missing_file_is_named_in_the_error() {
     let error = read_tables("no-such-file.json".as_ref()).expect_err("the file is missing");
     assert!(
         error.to_string().starts_with("no-such-file.json: "),
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn what_was_accepted_is_said() {
-    let report = sequoiawing_ctl::Applied {
+fn an_empty_change_reports_the_current_revision() {
+    let report = sequoiawing_ctl::ApplyReport {
         base: sequoiawing_tables::Revision(4),
         accepted: None,
         changes: Vec::new(),
--- a/crates/sequoiawing_ctl/tests/ctl/budgets.rs
+++ b/crates/sequoiawing_ctl/tests/ctl/budgets.rs
@@ -1,4 +1,4 @@
-//! Checks how budgets look.
+//! Tests of the text output of budgets.
 
 use sequoiawing_budget::{AccountView, LenderView, Limits, Share};
 use sequoiawing_ctl::{BudgetList, Report};
--- a/crates/sequoiawing_ctl/tests/ctl/cli.rs
+++ b/crates/sequoiawing_ctl/tests/ctl/cli.rs
@@ -1,4 +1,4 @@
-//! Checks the command line itself.
+//! Tests of the arguments, the help and the exit codes.
 
 use sequoiawing_ctl::{CtlError, command};
 use sequoiawing_link::ControlError;
@@ -6,7 +6,7 @@
 use sequoiawing_types::{Findings, RequestId};
 
 #[test]
-fn the_arguments_fit_together() {
+fn the_arguments_are_consistent() {
     command().debug_assert();
 }
 
@@ -15,7 +15,7 @@
     insta::assert_snapshot!(command().render_long_help().to_string());
 }
 
-/// Names an error, its exit code and whether it comes with a hint.
+/// Generates a test per error of its exit code and of whether it has a hint.
 macro_rules! exit_codes {
     ($($name:ident: $error:expr => $code:expr, $hint:expr;)*) => {
         $(
@@ -34,8 +34,8 @@
     a_conflict: CtlError::Conflict { base: Revision(1), current: Revision(2) } => 3, true;
     no_leader: CtlError::Refused(ControlError::NotLeader { leader: None }) => 4, true;
     a_full_disk: CtlError::Refused(ControlError::Storage("full".to_owned())) => 4, true;
-    hosts_that_did_not_confirm: CtlError::Unconfirmed("entry-1".to_owned()) => 5, true;
-    a_fleet_that_is_unwell: CtlError::Unwell(1) => 6, false;
+    unconfirmed_hosts: CtlError::Unconfirmed("entry-1".to_owned()) => 5, true;
+    problems_found: CtlError::ProblemsFound(1) => 6, false;
     a_lost_reply: CtlError::Uncertain {
         request: RequestId::from("r"),
         cause: "lost".to_owned(),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_lost_reply_tells_how_to_send_the_change_again() {
+fn the_hint_for_a_lost_reply_contains_the_request_id() {
     let error = CtlError::Uncertain {
         request: RequestId::from("4f"),
         cause: "lost".to_owned(),
--- a/crates/sequoiawing_ctl/tests/ctl/samples.rs
+++ b/crates/sequoiawing_ctl/tests/ctl/samples.rs
@@ -1,15 +1,15 @@
-//! Builds what the hosts of a deployment report.
+//! Sample reports of the hosts of a deployment.
 
-use sequoiawing_ctl::{Overview, Reported, UpstreamList};
+use sequoiawing_ctl::{HostReport, Overview, UpstreamList};
 use sequoiawing_fleet::UpstreamState;
 use sequoiawing_link::{ControlStatus, RouterStatus};
 use sequoiawing_tables::{Pool, Revision, Route, Tables};
 use sequoiawing_types::Name;
 
-/// A deployment of three controllers and two data centres, all well.
+/// A deployment of three controllers and two data centres, all healthy.
 pub(crate) struct Fleet {
-    pub(crate) controllers: Vec<Reported<ControlStatus>>,
-    pub(crate) routers: Vec<Reported<RouterStatus>>,
+    pub(crate) controllers: Vec<HostReport<ControlStatus>>,
+    pub(crate) routers: Vec<HostReport<RouterStatus>>,
     pub(crate) tables: Tables,
     pub(crate) upstreams: Vec<UpstreamState>,
 }
@@ -42,7 +42,7 @@
         )
     }
 
-    /// Returns the problems as lines.
+    /// Returns the problems, one per line.
     pub(crate) fn problems(&self) -> String {
         let problems = self.overview().problems;
         let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
@@ -50,28 +50,31 @@
     }
 
     pub(crate) fn router(&mut self, i: usize) -> &mut RouterStatus {
-        self.routers[i].status.as_mut().expect("the router answers")
+        self.routers[i]
+            .status
+            .as_mut()
+            .expect("the router has a status")
     }
 
     pub(crate) fn controller(&mut self, i: usize) -> &mut ControlStatus {
         let status = self.controllers[i].status.as_mut();
-        status.expect("the controller answers")
+        status.expect("the controller has a status")
     }
 
-    pub(crate) fn lose_router(&mut self, i: usize) {
+    pub(crate) fn disconnect_router(&mut self, i: usize) {
         self.routers[i].status = None;
         self.routers[i].problem = Some("call was not answered within 3000 ms".to_owned());
     }
 
-    pub(crate) fn lose_controller(&mut self, i: usize) {
+    pub(crate) fn disconnect_controller(&mut self, i: usize) {
         self.controllers[i].status = None;
         self.controllers[i].problem = Some("connection refused".to_owned());
     }
 }
 
-fn controller(i: u32, role: &str) -> Reported<ControlStatus> {
+fn controller(i: u32, role: &str) -> HostReport<ControlStatus> {
     let host = Name::from(format!("control-{i}"));
-    Reported {
+    HostReport {
         host: host.clone(),
         centre: Name::from("north"),
         status: Some(ControlStatus {
@@ -87,13 +90,13 @@
     }
 }
 
-fn router(host: &str, centre: &str) -> Reported<RouterStatus> {
+fn router(host: &str, centre: &str) -> HostReport<RouterStatus> {
     let leader = if centre == "north" {
         "entry-1"
     } else {
         "entry-3"
     };
-    Reported {
+    HostReport {
         host: Name::from(host),
         centre: Name::from(centre),
         status: Some(RouterStatus {
--- a/crates/sequoiawing_ctl/tests/ctl/status.rs
+++ b/crates/sequoiawing_ctl/tests/ctl/status.rs
@@ -1,7 +1,7 @@
-//! Checks how status looks.
+//! Tests of the output of status.
 
 use crate::samples::Fleet;
-use sequoiawing_ctl::{Output, Report, render};
+use sequoiawing_ctl::{OutputFormat, Report, render};
 use serde_json::Value;
 
 #[test]
@@ -12,8 +12,8 @@
 #[test]
 fn a_fleet_with_lost_hosts() {
     let mut fleet = Fleet::well();
-    fleet.lose_controller(0);
-    fleet.lose_router(2);
+    fleet.disconnect_controller(0);
+    fleet.disconnect_router(2);
     fleet.upstreams.clear();
     insta::assert_snapshot!(fleet.overview().text());
 }
@@ -21,8 +21,8 @@
 #[test]
 fn json_has_the_same_problems() {
     let mut fleet = Fleet::well();
-    fleet.lose_router(2);
-    let text = render(&fleet.overview(), Output::Json).expect("status is written as JSON");
-    let value: Value = serde_json::from_str(&text).expect("it is JSON");
+    fleet.disconnect_router(2);
+    let text = render(&fleet.overview(), OutputFormat::Json).expect("the status can be serialized");
+    let value: Value = serde_json::from_str(&text).expect("the output is valid JSON");
     insta::assert_snapshot!(format!("{:#}", value["problems"]));
 }
--- a/crates/sequoiawing_ctl/tests/ctl/upstreams.rs
+++ b/crates/sequoiawing_ctl/tests/ctl/upstreams.rs
@@ -1,4 +1,4 @@
-//! Checks how the answers of several routers are merged.
+//! Tests of merging the replies of several routers.
 
 use crate::samples::upstream;
 use sequoiawing_ctl::{Report, UpstreamList};
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     controller::{Controller, ControllerSettings},
-    ctl::{CtlError, Deployment, Host, Operator, TableFile},
+    ctl::{CtlError, Deployment, Host, OperatorClient, TableFile},
     router::{Router, RouterSettings},
     runtime::{Clock, sleep, wait_for_signal},
     standin::{Engine, EngineSettings, LoadSettings, Service, ServiceSettings, run_load},
@@ -132,20 +132,20 @@
     .await
 }
 
-fn operator(controller: &Controller, router: &Router) -> Operator {
+fn operator(controller: &Controller, router: &Router) -> OperatorClient {
     let host = |host: &str, address| Host {
         host: Name::from(host),
         centre: Name::from("centre"),
         address,
     };
-    Operator::new(Deployment {
+    OperatorClient::new(Deployment {
         secret: SECRET.to_owned(),
         controllers: vec![host("control-1", controller.link())],
         routers: vec![host("entry-1", router.link())],
     })
 }
 
-async fn configure(operator: &Operator) -> Result<String, CtlError> {
+async fn configure(operator: &OperatorClient) -> Result<String, CtlError> {
     let file = demo_tables();
     let tables = operator.read().await?;
     let changes = file.changes_from(&tables, false);
--- a/tests/requests/fleet.rs
+++ b/tests/requests/fleet.rs
@@ -5,7 +5,7 @@
 use hyper::{HeaderMap, Method, Request, StatusCode, header};
 use sequoiawing::{
     controller::{Controller, ControllerSettings},
-    ctl::{CtlError, Deployment, Host, Operator, TableFile},
+    ctl::{CtlError, Deployment, Host, OperatorClient, TableFile},
     http::{Client, ClientBody, from_bytes},
     link::{PeerClient, RouterStatus, Secret, Stub},
     router::{Plugin, Router, RouterSettings},
@@ -83,7 +83,7 @@
     pub(crate) routers: Vec<Router>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) services: Vec<Service>,
-    pub(crate) operator: Operator,
+    pub(crate) operator: OperatorClient,
     pub(crate) key: BearerKey,
     folder: PathBuf,
 }
@@ -360,14 +360,14 @@
     }
 }
 
-fn operator(controller: &Controller, routers: &[Router]) -> Operator {
+fn operator(controller: &Controller, routers: &[Router]) -> OperatorClient {
     let host = |host: String, address| Host {
         host: Name::from(host),
         centre: Name::from("centre"),
         address,
     };
     let named = routers.iter().enumerate();
-    Operator::new(Deployment {
+    OperatorClient::new(Deployment {
         secret: SECRET.to_owned(),
         controllers: vec![host("control-1".to_owned(), controller.link())],
         routers: named
@@ -377,7 +377,7 @@
 }
 
 /// Enters the tables, again when routers that join their cell were faster.
-async fn set_up(operator: &Operator) -> BearerKey {
+async fn set_up(operator: &OperatorClient) -> BearerKey {
     let file: TableFile = serde_json::from_value(tables()).expect("the tables are sound");
     loop {
         let tables = operator.read().await.expect("the controller answers");
