--- a/crates/sequoiawing_budget/tests/figures.rs
+++ b/crates/sequoiawing_budget/tests/figures.rs
@@ -102,7 +102,7 @@
     let mut last = Time::ZERO;
     let (mut refused, mut wrong_refusals, mut earned) = (0, 0, 0);
     for arrival in arrivals {
-        earned += u64::try_from(arrival.at.since(last).as_micros()).expect("the value fits in u32")
+        earned += u64::try_from(arrival.at.since(last).as_micros()).expect("the value fits in u64")
             * RATE
             / 6;
         last = arrival.at;
