--- a/crates/sequoiawing_ctl/src/diff.rs
+++ b/crates/sequoiawing_ctl/src/diff.rs
@@ -45,17 +45,12 @@
 /// List entries that have a name are matched by name; other list entries are
 /// compared as a set.
 pub fn diff(place: &str, old: Option<&Value>, new: Option<&Value>) -> Vec<Difference> {
-    let mut differences = Vec::new();
-    compare(place, old, new, &mut differences);
-    differences
+    let mut diffs = Vec::new();
+    compare(place, old, new, &mut diffs);
+    diffs
 }
 
-fn compare(
-    place: &str,
-    old: Option<&Value>,
-    new: Option<&Value>,
-    differences: &mut Vec<Difference>,
-) {
+fn compare(place: &str, old: Option<&Value>, new: Option<&Value>, diffs: &mut Vec<Difference>) {
     match (old, new) {
         (Some(old), Some(new)) if old == new => {}
         (Some(Value::Object(old)), Some(Value::Object(new))) => {
@@ -63,13 +58,11 @@
                 .keys()
                 .chain(new.keys().filter(|k| !old.contains_key(*k)));
             for key in keys {
-                compare(&join(place, key), old.get(key), new.get(key), differences);
+                compare(&join(place, key), old.get(key), new.get(key), diffs);
             }
         }
-        (Some(Value::Array(old)), Some(Value::Array(new))) => {
-            compare_lists(place, old, new, differences)
-        }
-        _ => differences.push(Difference {
+        (Some(Value::Array(old)), Some(Value::Array(new))) => compare_lists(place, old, new, diffs),
+        _ => diffs.push(Difference {
             place: place.to_owned(),
             old: old.cloned(),
             new: new.cloned(),
@@ -77,25 +70,20 @@
     }
 }
 
-fn compare_lists(place: &str, old: &[Value], new: &[Value], differences: &mut Vec<Difference>) {
+fn compare_lists(place: &str, old: &[Value], new: &[Value], diffs: &mut Vec<Difference>) {
     for value in old {
         match name(value) {
-            Some(key) => compare(
-                &join(place, key),
-                Some(value),
-                find_named(new, key),
-                differences,
-            ),
-            None if !new.contains(value) => compare(place, Some(value), None, differences),
+            Some(key) => compare(&join(place, key), Some(value), find_named(new, key), diffs),
+            None if !new.contains(value) => compare(place, Some(value), None, diffs),
             None => {}
         }
     }
     for value in new {
         match name(value) {
             Some(key) if find_named(old, key).is_none() => {
-                compare(&join(place, key), None, Some(value), differences);
+                compare(&join(place, key), None, Some(value), diffs);
             }
-            None if !old.contains(value) => compare(place, None, Some(value), differences),
+            None if !old.contains(value) => compare(place, None, Some(value), diffs),
             _ => {}
         }
     }
