--- a/tests/requests/fleet.rs
+++ b/tests/requests/fleet.rs
@@ -5,7 +5,7 @@
 use hyper::{HeaderMap, Method, Request, StatusCode, header};
 use sequoiawing::{
     controller::{Controller, ControllerSettings},
-    ctl::{CtlError, Deployment, Host, Operator, TableFile},
+    ctl::{CtlError, Deployment, Host, OperatorClient, TableFile},
     http::{Client, ClientBody, from_bytes},
     link::{PeerClient, RouterStatus, Secret, Stub},
     router::{Plugin, Router, RouterSettings},
@@ -84,7 +84,7 @@
     pub(crate) routers: Vec<Router>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) services: Vec<Service>,
-    pub(crate) operator: Operator,
+    pub(crate) operator: OperatorClient,
     pub(crate) key: BearerKey,
     folder: PathBuf,
 }
@@ -363,14 +363,14 @@
     }
 }
 
-fn operator(controller: &Controller, routers: &[Router]) -> Operator {
+fn operator(controller: &Controller, routers: &[Router]) -> OperatorClient {
     let host = |host: String, address| Host {
         host: Name::from(host),
         centre: Name::from("centre"),
         address,
     };
     let named = routers.iter().enumerate();
-    Operator::new(Deployment {
+    OperatorClient::new(Deployment {
         secret: SECRET.to_owned(),
         controllers: vec![host("control-1".to_owned(), controller.link())],
         routers: named
