--- a/tests/requests/fleet.rs
+++ b/tests/requests/fleet.rs
@@ -381,7 +381,7 @@
 
 /// Applies the tables and retries on conflicts with routers that join their cell
 /// at the same time.
-async fn apply_tables(operator: &Operator) -> BearerKey {
+async fn apply_tables(operator: &OperatorClient) -> BearerKey {
     let file: TableFile = serde_json::from_value(tables()).expect("the tables are valid");
     loop {
         let tables = operator.read().await.expect("the controller answers");
