--- a/crates/sequoiawing_budget/src/centre_slots.rs
+++ b/crates/sequoiawing_budget/src/centre_slots.rs
@@ -237,10 +237,10 @@
         } else {
             self.want.max(self.share_slots())
         };
-        let back = self.held.saturating_sub(idle.max(self.used));
-        if back > 0 && !self.is_autonomous {
-            self.held -= back;
-            self.borrower.return_credit(back);
+        let surplus = self.held.saturating_sub(idle.max(self.used));
+        if surplus > 0 && !self.is_autonomous {
+            self.held -= surplus;
+            self.borrower.return_credit(surplus);
             self.is_due = true;
         }
     }
@@ -249,7 +249,7 @@
     /// that other data centres have ended all work on slots of this one's
     /// share.
     fn is_disconnected(&self, now: Time) -> bool {
-        let ended = self.borrower.last_reply + self.timing.lease * 2 + self.timing.max_overrun();
-        self.is_confirmed && self.borrower.has_expired(now) && now >= ended
+        let ended_by = self.borrower.last_reply + self.timing.lease * 2 + self.timing.max_overrun();
+        self.is_confirmed && self.borrower.has_expired(now) && now >= ended_by
     }
 }
--- a/crates/sequoiawing_budget/src/router_budget.rs
+++ b/crates/sequoiawing_budget/src/router_budget.rs
@@ -62,7 +62,7 @@
 
 /// An earlier session whose charges are leased until `until`.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct FormerSession {
+struct PreviousSession {
     session: u64,
     until: Time,
 }
@@ -78,7 +78,7 @@
     free: u64,
     held: u64,
     #[serde(rename = "former")]
-    former_sessions: Vec<FormerSession>,
+    previous_sessions: Vec<PreviousSession>,
     need: u64,
     #[serde(rename = "head")]
     head_need: u64,
@@ -116,7 +116,7 @@
             borrower: Borrower::new(now, incarnation, timing),
             free: 0,
             held: 0,
-            former_sessions: Vec::new(),
+            previous_sessions: Vec::new(),
             need: 0,
             head_need: 0,
             need_since: None,
@@ -187,8 +187,8 @@
         if charge.session == self.borrower.session() {
             return self.borrower.may_use(now);
         }
-        let mut former_sessions = self.former_sessions.iter();
-        former_sessions.any(|f| f.session == charge.session && now < f.until)
+        let mut previous_sessions = self.previous_sessions.iter();
+        previous_sessions.any(|f| f.session == charge.session && now < f.until)
     }
 
     /// Charges a request to the local credit.
@@ -302,8 +302,8 @@
             ReplyOutcome::Invited => {
                 self.free = 0;
                 self.held = 0;
-                self.former_sessions.retain(|f| now < f.until);
-                self.former_sessions.push(FormerSession {
+                self.previous_sessions.retain(|f| now < f.until);
+                self.previous_sessions.push(PreviousSession {
                     session: self.borrower.session(),
                     until: self.borrower.lease,
                 });
--- a/crates/sequoiawing_cell/src/cell.rs
+++ b/crates/sequoiawing_cell/src/cell.rs
@@ -278,9 +278,9 @@
     /// the number of hosts that precede this one by name, except for the
     /// previous leader.
     fn election_delay(&self) -> std::time::Duration {
-        let former = self.promise.as_ref().map(|p| &p.holder);
+        let previous = self.promise.as_ref().map(|p| &p.holder);
         let earlier = self.members.iter().take_while(|m| **m != self.host);
-        let before = earlier.filter(|m| Some(*m) != former).count();
+        let before = earlier.filter(|m| Some(*m) != previous).count();
         let before = u32::try_from(before).unwrap_or(u32::MAX);
         self.settings.renewal / 8 * before.min(8)
     }
--- a/crates/sequoiawing_cell/src/event.rs
+++ b/crates/sequoiawing_cell/src/event.rs
@@ -12,7 +12,7 @@
         /// The hosts.
         members: BTreeSet<Name>,
     },
-    /// A fencing number was seen in an announcement or in the log.
+    /// A fencing token was seen in an announcement or in the log.
     Fence(u64),
     /// Another member sent a request.
     Request(CellRequest),
@@ -62,7 +62,7 @@
 /// A lease that is currently held.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Lease {
-    /// The term, which is the fencing number of every order.
+    /// The term, which is the fencing token of every order.
     pub term: u64,
     /// When the lease expires unless it is renewed.
     pub until: Time,
--- a/crates/sequoiawing_controller/src/budgets.rs
+++ b/crates/sequoiawing_controller/src/budgets.rs
@@ -73,8 +73,8 @@
             let mut owned = self.inner.owned.lock();
             let owned = owned.as_mut().filter(|o| o.term == term)?;
             let now = self.now();
-            for (budget, ask) in batch.asks {
-                let reply = owned.reply_to(now, &tables, &budget, &batch.borrower, &ask);
+            for (budget, request) in batch.asks {
+                let reply = owned.reply_to(now, &tables, &budget, &batch.borrower, &request);
                 replies.extend(reply.map(|r| (budget, r)));
             }
         }
@@ -288,11 +288,11 @@
         tables: &Tables,
         budget: &Name,
         centre: &Name,
-        ask: &BorrowRequest,
+        request: &BorrowRequest,
     ) -> Option<Reply> {
         self.configure(now, tables);
         let lender = self.lenders.get_mut(budget)?;
-        Some(lender.handle(now, centre, ask))
+        Some(lender.handle(now, centre, request))
     }
 
     fn propose_marks(&mut self, now: Time) -> BTreeMap<Name, Watermark> {
--- a/crates/sequoiawing_fleet/src/remote_centres.rs
+++ b/crates/sequoiawing_fleet/src/remote_centres.rs
@@ -135,8 +135,8 @@
         update
             .changed
             .retain(|name| before.get(name) != self.entries.get(name));
-        let gone = before.into_keys().filter(|n| !self.entries.contains_key(n));
-        update.removed = gone.collect();
+        let removed = before.into_keys().filter(|n| !self.entries.contains_key(n));
+        update.removed = removed.collect();
         update.forward = Some(summary.confirmation());
         update
     }
--- a/crates/sequoiawing_gateway/src/attempt.rs
+++ b/crates/sequoiawing_gateway/src/attempt.rs
@@ -50,7 +50,7 @@
     let silence_timeout = silence_timeout.filter(|limit| *limit < remaining);
     let mut slot = slot;
     let receiving = receive(state, exchange, &mut slot, last_event_id);
-    let (ended, result) =
+    let (outcome, result) =
         match timeout(silence_timeout.unwrap_or(remaining), Box::pin(receiving)).await {
             None if silence_timeout.is_some() => {
                 let cause = "the upstream is silent".to_owned();
@@ -65,22 +65,22 @@
             }
             Some(Ok(Received::Buffered(parts, bytes))) => {
                 let is_server_error = parts.status.is_server_error();
-                let ended = if is_server_error {
+                let outcome = if is_server_error {
                     AttemptOutcome::Failed
                 } else {
                     AttemptOutcome::Succeeded
                 };
-                (ended, Ok(UpstreamResponse::Buffered(parts, bytes)))
+                (outcome, Ok(UpstreamResponse::Buffered(parts, bytes)))
             }
-            Some(Err(failure)) => (failure.ended(), Err(failure)),
+            Some(Err(failure)) => (failure.outcome(), Err(failure)),
         };
-    slot.release(ended);
+    slot.release(outcome);
     result
 }
 
 impl AttemptError {
     /// Returns the outcome that the balancer records for the upstream.
-    fn ended(&self) -> AttemptOutcome {
+    fn outcome(&self) -> AttemptOutcome {
         match self {
             Self::NotRun(ResponseKind::Full) => AttemptOutcome::Full,
             Self::NotRun(ResponseKind::Lacking) => AttemptOutcome::ModelMissing,
@@ -103,7 +103,7 @@
     last_event_id: Option<u64>,
 ) -> Result<Received, AttemptError> {
     let request = build_request(state, exchange, slot, last_event_id)?;
-    let address = slot.assigned.address;
+    let address = slot.assignment.address;
     let repeat = exchange.route.repeat;
     // The upstream may close a pooled connection while the request is being
     // sent, which leaves unknown whether the request ran.
--- a/crates/sequoiawing_gateway/src/daemon.rs
+++ b/crates/sequoiawing_gateway/src/daemon.rs
@@ -180,12 +180,12 @@
             }
         };
         if let Some(meters) = &state.meters {
-            let asked = RequestAttributes {
+            let attributes = RequestAttributes {
                 customer: exchange.customer().into(),
                 route: exchange.route.name.clone(),
                 model: exchange.meta.model.clone().unwrap_or_default(),
             };
-            meters.record_response(&asked, response.status().as_u16(), latency);
+            meters.record_response(&attributes, response.status().as_u16(), latency);
         }
         response
     }
--- a/crates/sequoiawing_gateway/src/dialect.rs
+++ b/crates/sequoiawing_gateway/src/dialect.rs
@@ -31,7 +31,7 @@
     /// declares.
     pub fn total_tokens(&self) -> Option<u64> {
         self.tokens
-            .map(|(prompt, answer)| prompt.saturating_add(answer))
+            .map(|(prompt, completion)| prompt.saturating_add(completion))
     }
 }
 
--- a/crates/sequoiawing_gateway/src/exchange.rs
+++ b/crates/sequoiawing_gateway/src/exchange.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns what the balancer needs to choose an upstream.
-    pub(crate) fn work(&self) -> BalancerRequest {
+    pub(crate) fn balancer_request(&self) -> BalancerRequest {
         BalancerRequest {
             pool: self.pool.clone(),
             model: self.meta.model.clone(),
--- a/crates/sequoiawing_gateway/src/filters/forward.rs
+++ b/crates/sequoiawing_gateway/src/filters/forward.rs
@@ -21,7 +21,7 @@
 
 /// The silence timeout of an attempt, in multiples of the route's latency
 /// target.
-const SILENCE_TIMEOUT_AIMS: u32 = 2;
+const SILENCE_TIMEOUT_FACTOR: u32 = 2;
 
 /// The minimum silence timeout of an attempt.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -33,7 +33,7 @@
 
 /// The progress of a request through its attempts.
 struct Progress {
-    work: BalancerRequest,
+    request: BalancerRequest,
     /// The number of times the request was sent.
     attempts: u32,
     /// The number of failed connects.
@@ -48,18 +48,18 @@
 
     async fn forward(&self, exchange: &mut GatewayExchange) -> Result<Response<Body>, Refused> {
         let mut progress = Progress {
-            work: exchange.work(),
+            request: exchange.balancer_request(),
             attempts: 0,
             connect_failures: 0,
             ran: Ran::No,
         };
         let tokens = exchange.meta.total_tokens().unwrap_or_default();
         let event = DemandEvent::Requested { tokens };
-        self.state.record_demand(&progress.work, event);
+        self.state.record_demand(&progress.request, event);
         self.state.record_request(&exchange.pool);
         loop {
             let slot = SlotSearch::new(&self.state, exchange)
-                .acquire(&progress.work)
+                .acquire(&progress.request)
                 .await;
             let slot = slot.map_err(|refused| final_refusal(refused, progress.ran))?;
             let upstream = slot.upstream().clone();
@@ -67,22 +67,22 @@
                 target: "gateway", request = exchange.meta.id.as_str(),
                 route = exchange.route.name.as_str(), version = exchange.index.version(),
                 model = exchange.model(), customer = exchange.customer(),
-                upstream = upstream.as_str(), load = slot.assigned.load,
-                missing = slot.assigned.uncached, attempt = progress.attempts + 1,
+                upstream = upstream.as_str(), load = slot.assignment.load,
+                missing = slot.assignment.uncached, attempt = progress.attempts + 1,
                 waited_ms = exchange.millis_since_arrival(self.state.now());
                 "Sending request to an upstream."
             );
-            progress.work.tried.push(upstream.clone());
+            progress.request.tried.push(upstream.clone());
             let silence_timeout = silence_timeout(exchange, &progress);
             match send(&self.state, exchange, slot, None, silence_timeout).await {
                 Ok(UpstreamResponse::Stream(parts, body, slot)) => {
                     let exchange = exchange.detach();
                     let response = (parts, body, slot);
-                    let (work, attempts) = (progress.work, progress.attempts + 1);
+                    let (request, attempts) = (progress.request, progress.attempts + 1);
                     return Ok(relay(
                         self.state.clone(),
                         exchange,
-                        work,
+                        request,
                         attempts,
                         response,
                     ));
@@ -175,8 +175,8 @@
 /// if the request can't be retried, so that only its deadline applies.
 fn silence_timeout(exchange: &GatewayExchange, progress: &Progress) -> Option<Duration> {
     let route = &exchange.route;
-    let may_repeat = route.repeat.allows_retry() && progress.attempts + 1 < route.attempts;
-    may_repeat.then(|| (route.target_latency() * SILENCE_TIMEOUT_AIMS).max(MIN_SILENCE_TIMEOUT))
+    let can_retry = route.repeat.allows_retry() && progress.attempts + 1 < route.attempts;
+    can_retry.then(|| (route.target_latency() * SILENCE_TIMEOUT_FACTOR).max(MIN_SILENCE_TIMEOUT))
 }
 
 /// Returns the refusal of a request whose earlier attempts may have run.
--- a/crates/sequoiawing_gateway/src/filters/rate_limit.rs
+++ b/crates/sequoiawing_gateway/src/filters/rate_limit.rs
@@ -52,13 +52,13 @@
         Box::pin(async move {
             self.charge(exchange)?;
             let (customer, units) = (exchange.customer.clone(), exchange.units);
-            let answer = next.run(exchange).await;
-            if let (Err(refused), Some(customer)) = (&answer, customer)
+            let result = next.run(exchange).await;
+            if let (Err(refused), Some(customer)) = (&result, customer)
                 && refused.ran == Ran::No
             {
                 self.state.refund(&customer, units);
             }
-            answer
+            result
         })
     }
 }
--- a/crates/sequoiawing_gateway/src/hub_sync.rs
+++ b/crates/sequoiawing_gateway/src/hub_sync.rs
@@ -65,7 +65,7 @@
 async fn run_session(session: Arc<HubSession>) {
     let state = &session.state;
     let hub = session.hub;
-    let mut in_touch = false;
+    let mut is_connected = false;
     let mut last_role = None;
     loop {
         let role = state.hub_role(hub);
@@ -81,9 +81,9 @@
                 periodic.or(session.report_urgent()).await
             }
         };
-        if answered != in_touch {
+        if answered != is_connected {
             log::info!(target: "gateway", hub = hub.to_string(), in_touch = answered; "Hub connectivity changed.");
-            in_touch = answered;
+            is_connected = answered;
         }
         if !answered && state.record_hub_failure(hub) {
             return;
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Requests the hub's facts; returns whether it answered.
+    /// Requests the hub's status; returns whether it answered.
     async fn probe(&self) -> bool {
         let call = async |client: HubClient, context| client.facts(context).await;
         match self.stub.call(CALL_TIMEOUT, call).await {
-            Ok(facts) => {
-                self.update_hub(facts);
+            Ok(info) => {
+                self.update_hub(info);
                 true
             }
             Err(error) => {
@@ -193,13 +193,13 @@
         true
     }
 
-    /// Records the hub's facts and the other hubs that it lists.
-    fn update_hub(&self, facts: HubInfo) {
-        let fact = HubStatus {
-            centre: facts.centre,
-            leads: facts.leads,
-            age: Duration::from_millis(facts.age),
+    /// Records the hub's status and the other hubs that it lists.
+    fn update_hub(&self, info: HubInfo) {
+        let status = HubStatus {
+            centre: info.centre,
+            leads: info.leads,
+            age: Duration::from_millis(info.age),
         };
-        self.state.update_hub(self.hub, fact, &facts.hubs);
+        self.state.update_hub(self.hub, status, &info.hubs);
     }
 }
--- a/crates/sequoiawing_gateway/src/relay.rs
+++ b/crates/sequoiawing_gateway/src/relay.rs
@@ -26,7 +26,7 @@
 struct StreamRelay {
     state: Arc<GatewayState>,
     exchange: Arc<GatewayExchange>,
-    work: BalancerRequest,
+    request: BalancerRequest,
     /// The number of times the request was sent.
     attempts: u32,
     source: Option<(ClientBody, Slot)>,
@@ -48,7 +48,7 @@
 pub(crate) fn relay(
     state: Arc<GatewayState>,
     exchange: GatewayExchange,
-    work: BalancerRequest,
+    request: BalancerRequest,
     attempts: u32,
     response: (Parts, ClientBody, Slot),
 ) -> Response<Body> {
@@ -58,7 +58,7 @@
     let relay = StreamRelay {
         state,
         exchange: Arc::new(exchange),
-        work,
+        request,
         attempts,
         source: Some((body, slot)),
         events: SseSplitter::default(),
@@ -128,13 +128,13 @@
     /// Resumes the stream at another upstream if one has a free slot, since the
     /// current one is silent.
     async fn replace_silent_upstream(&mut self) {
-        let mut work = self.work.clone();
-        work.tried.extend(
+        let mut request = self.request.clone();
+        request.tried.extend(
             self.source
                 .as_ref()
                 .map(|(_, slot)| slot.upstream().clone()),
         );
-        let slot = SlotSearch::new(&self.state, &self.exchange).try_acquire(&work);
+        let slot = SlotSearch::new(&self.state, &self.exchange).try_acquire(&request);
         let Some(slot) = slot.filter(|_| self.state.take_retry(&self.exchange.pool)) else {
             self.has_no_alternative = true;
             return;
@@ -170,12 +170,12 @@
     }
 
     /// Closes the stream of the current upstream and excludes it from retries.
-    fn drop_source(&mut self, ended: AttemptOutcome, cause: &str) {
+    fn drop_source(&mut self, outcome: AttemptOutcome, cause: &str) {
         let Some((_, mut slot)) = self.source.take() else {
             return;
         };
-        slot.set_ended(ended);
-        self.work.tried.push(slot.upstream().clone());
+        slot.set_outcome(outcome);
+        self.request.tried.push(slot.upstream().clone());
         log::info!(
             target: "gateway", request = self.exchange.meta.id.as_str(),
             upstream = slot.upstream().as_str(), events = self.events.count(), cause = cause;
@@ -196,7 +196,7 @@
             && self.state.take_retry(&self.exchange.pool)
         {
             let slot = SlotSearch::new(&self.state, &self.exchange)
-                .acquire(&self.work)
+                .acquire(&self.request)
                 .await;
             let Ok(slot) = slot else {
                 return false;
@@ -212,7 +212,7 @@
     async fn resume_at(&mut self, slot: Slot) -> bool {
         let id = self.exchange.meta.id.clone();
         let upstream = slot.upstream().clone();
-        self.work.tried.push(upstream.clone());
+        self.request.tried.push(upstream.clone());
         let last_event_id = self.events.last_id().or(self.exchange.meta.last_event_id);
         let cause = match send(&self.state, &self.exchange, slot, last_event_id, None).await {
             Ok(UpstreamResponse::Stream(_, body, slot)) => {
@@ -239,9 +239,9 @@
         false
     }
 
-    fn abort(&mut self, ended: AttemptOutcome, cause: &str) -> BodyError {
+    fn abort(&mut self, outcome: AttemptOutcome, cause: &str) -> BodyError {
         if let Some((_, slot)) = self.source.take() {
-            slot.release(ended);
+            slot.release(outcome);
         }
         self.is_finished = true;
         self.log("broken off", cause);
--- a/crates/sequoiawing_gateway/src/slots.rs
+++ b/crates/sequoiawing_gateway/src/slots.rs
@@ -37,35 +37,35 @@
 /// A slot for one request at an upstream, released on drop.
 pub(crate) struct Slot {
     state: Arc<GatewayState>,
-    pub(crate) assigned: Assignment,
-    ended: AttemptOutcome,
+    pub(crate) assignment: Assignment,
+    outcome: AttemptOutcome,
 }
 
 impl Slot {
     /// Returns the name of the upstream.
     pub(crate) fn upstream(&self) -> &Name {
-        &self.assigned.name
+        &self.assignment.name
     }
 
     /// Records the load that the upstream reported.
     pub(crate) fn report_load(&self, load: ReportedLoad) {
-        self.state.report_load(&self.assigned, load);
+        self.state.report_load(&self.assignment, load);
     }
 
     /// Releases the slot with the outcome of the request.
-    pub(crate) fn release(mut self, ended: AttemptOutcome) {
-        self.ended = ended;
+    pub(crate) fn release(mut self, outcome: AttemptOutcome) {
+        self.outcome = outcome;
     }
 
     /// Sets the outcome that is recorded when the slot is released.
-    pub(crate) fn set_ended(&mut self, ended: AttemptOutcome) {
-        self.ended = ended;
+    pub(crate) fn set_outcome(&mut self, outcome: AttemptOutcome) {
+        self.outcome = outcome;
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.state.release(&self.assigned, self.ended);
+        self.state.release(&self.assignment, self.outcome);
     }
 }
 
@@ -88,18 +88,18 @@
     }
 
     /// Returns a slot if one is available now.
-    pub(crate) fn try_acquire(&self, work: &BalancerRequest) -> Option<Slot> {
-        match self.state.pick(work) {
-            PickResult::Assigned(assigned) => Some(self.slot(assigned)),
+    pub(crate) fn try_acquire(&self, request: &BalancerRequest) -> Option<Slot> {
+        match self.state.pick(request) {
+            PickResult::Assigned(assignment) => Some(self.slot(assignment)),
             _ => None,
         }
     }
 
-    fn slot(&self, assigned: Assignment) -> Slot {
+    fn slot(&self, assignment: Assignment) -> Slot {
         Slot {
             state: self.state.clone(),
-            assigned,
-            ended: AttemptOutcome::Cancelled,
+            assignment,
+            outcome: AttemptOutcome::Cancelled,
         }
     }
 
@@ -108,18 +108,18 @@
     /// # Errors
     ///
     /// Returns a refusal when no slot became available.
-    pub(crate) async fn acquire(&mut self, work: &BalancerRequest) -> Result<Slot, Refused> {
+    pub(crate) async fn acquire(&mut self, request: &BalancerRequest) -> Result<Slot, Refused> {
         loop {
             let changed = self.state.upstreams_changed.listen();
-            let (until, refused) = match self.state.pick(work) {
-                PickResult::Assigned(assigned) => return Ok(self.slot(assigned)),
+            let (until, refused) = match self.state.pick(request) {
+                PickResult::Assigned(assignment) => return Ok(self.slot(assignment)),
                 PickResult::Full(retry) => {
-                    self.record_demand(work, DemandEvent::Saturated);
+                    self.record_demand(request, DemandEvent::Saturated);
                     let problem = "all upstreams that can serve the request are full";
                     let refused = Refused::new(Code::Overloaded, problem).with_retry(retry);
                     (self.capacity_deadline(), refused)
                 }
-                PickResult::NotLoaded => self.wait_for_model(work),
+                PickResult::NotLoaded => self.wait_for_model(request),
                 PickResult::NoUpstream => {
                     let problem = "no upstream of the pool is known";
                     let refused =
@@ -143,10 +143,10 @@
     }
 
     /// Records unmet demand for the hubs, once per request.
-    fn record_demand(&mut self, work: &BalancerRequest, event: DemandEvent) {
+    fn record_demand(&mut self, request: &BalancerRequest, event: DemandEvent) {
         if !self.is_demand_recorded {
             self.is_demand_recorded = true;
-            self.state.record_demand(work, event);
+            self.state.record_demand(request, event);
         }
     }
 
@@ -157,11 +157,11 @@
 
     /// Returns the time until which a request waits for a model that no upstream
     /// has loaded, and the refusal after it.
-    fn wait_for_model(&mut self, work: &BalancerRequest) -> (Time, Refused) {
-        self.record_demand(work, DemandEvent::ModelMissing);
+    fn wait_for_model(&mut self, request: &BalancerRequest) -> (Time, Refused) {
+        self.record_demand(request, DemandEvent::ModelMissing);
         let now = self.state.now();
-        let name = work.adapter.as_ref().or(work.model.as_ref());
-        let ready = name.and_then(|model| self.state.time_until_loaded(&work.pool, model));
+        let name = request.adapter.as_ref().or(request.model.as_ref());
+        let ready = name.and_then(|model| self.state.time_until_loaded(&request.pool, model));
         let refuse = |retry| {
             let problem = "no upstream has the model loaded";
             Refused::new(Code::NoUpstream, problem).with_retry(retry)
--- a/crates/sequoiawing_gateway/src/state.rs
+++ b/crates/sequoiawing_gateway/src/state.rs
@@ -184,7 +184,7 @@
     }
 
     /// Returns the gateways that share the rate limits.
-    fn rate_view(&self, now: Time) -> PeerView {
+    fn peer_view(&self, now: Time) -> PeerView {
         let cluster = self.cluster.lock();
         let last_response = cluster.hubs.values().map(|h| h.last_response).max();
         let last_response = last_response.unwrap_or(Time::ZERO);
@@ -210,17 +210,17 @@
             return Ok(());
         }
         let now = self.now();
-        let rate_view = self.rate_view(now);
+        let peer_view = self.peer_view(now);
         let mut rates = self.rates.lock();
         let rate = rates
             .entry(customer.name.clone())
             .or_insert_with(|| SharedTokenBucket::new(now, customer.rate, customer.burst));
-        let admitted = rate.admit(now, units, rate_view);
+        let admitted = rate.admit(now, units, peer_view);
         drop(rates);
         if admitted.is_err() {
             self.urgent_report.notify(usize::MAX);
         }
-        admitted.map_err(|retry| (retry, rate_view))
+        admitted.map_err(|retry| (retry, peer_view))
     }
 
     /// Returns the units that a customer has used at this gateway.
@@ -254,16 +254,16 @@
     }
 
     /// Adds an event to the demand for the request's model.
-    pub(crate) fn record_demand(&self, work: &BalancerRequest, event: DemandEvent) {
-        let Some(model) = &work.model else {
+    pub(crate) fn record_demand(&self, request: &BalancerRequest, event: DemandEvent) {
+        let Some(model) = &request.model else {
             return;
         };
-        let key = (work.pool.clone(), model.clone(), work.adapter.clone());
+        let key = (request.pool.clone(), model.clone(), request.adapter.clone());
         let mut queue = self.demand.lock();
         let demand = queue.pending.entry(key).or_insert_with(|| ModelDemand {
-            pool: work.pool.clone(),
+            pool: request.pool.clone(),
             model: model.clone(),
-            adapter: work.adapter.clone(),
+            adapter: request.adapter.clone(),
             ..ModelDemand::default()
         });
         match event {
@@ -322,14 +322,14 @@
         is_removed
     }
 
-    /// Records a hub's facts and adds the other hubs that it lists.
-    pub(crate) fn update_hub(&self, hub: SocketAddr, fact: HubStatus, hosts: &[IpAddr]) {
+    /// Records a hub's status and adds the other hubs that it lists.
+    pub(crate) fn update_hub(&self, hub: SocketAddr, status: HubStatus, hosts: &[IpAddr]) {
         let now = self.now();
         let mut hubs = self.hubs.lock();
         for host in hosts {
             hubs.add(now, SocketAddr::new(*host, hub.port()), false);
         }
-        hubs.record_answer(now, hub, fact);
+        hubs.record_answer(now, hub, status);
         let has_changed = hubs.has_changed(now);
         drop(hubs);
         if has_changed {
@@ -362,8 +362,8 @@
     }
 
     /// Chooses an upstream for a request.
-    pub(crate) fn pick(&self, work: &BalancerRequest) -> PickResult {
-        self.balancer.lock().pick(self.now(), work)
+    pub(crate) fn pick(&self, request: &BalancerRequest) -> PickResult {
+        self.balancer.lock().pick(self.now(), request)
     }
 
     /// Returns the upstreams that recently could not be reached.
@@ -377,18 +377,23 @@
     }
 
     /// Records the load that an upstream reported.
-    pub(crate) fn report_load(&self, assigned: &Assignment, load: ReportedLoad) {
+    pub(crate) fn report_load(&self, assignment: &Assignment, load: ReportedLoad) {
         let mut balancer = self.balancer.lock();
-        balancer.report(self.now(), assigned.key, load);
+        balancer.report(self.now(), assignment.key, load);
     }
 
     /// Releases the slot of a request with its outcome.
-    pub(crate) fn release(&self, assigned: &Assignment, ended: AttemptOutcome) {
-        self.balancer.lock().end(self.now(), assigned.key, ended);
-        if matches!(ended, AttemptOutcome::Unreachable | AttemptOutcome::Aborted) {
-            self.client.close_idle(assigned.address);
+    pub(crate) fn release(&self, assignment: &Assignment, outcome: AttemptOutcome) {
+        self.balancer
+            .lock()
+            .end(self.now(), assignment.key, outcome);
+        if matches!(
+            outcome,
+            AttemptOutcome::Unreachable | AttemptOutcome::Aborted
+        ) {
+            self.client.close_idle(assignment.address);
         }
-        if ended == AttemptOutcome::Unreachable {
+        if outcome == AttemptOutcome::Unreachable {
             self.urgent_report.notify(usize::MAX);
         }
         self.upstreams_changed.notify(usize::MAX);
@@ -482,19 +487,19 @@
     /// Applies the usage of all gateways. A customer that the hub does not list
     /// counts as unused, so that its first usage elsewhere is charged.
     fn apply_usage(&self, now: Time, used: &[(Name, u64)], reported: &[(Name, u64)], is_new: bool) {
-        let rate_view = self.rate_view(now);
+        let peer_view = self.peer_view(now);
         let index = self.index();
         let used: HashMap<&Name, u64> = used.iter().map(|(n, u)| (n, *u)).collect();
         let own: HashMap<&Name, u64> = reported.iter().map(|(n, u)| (n, *u)).collect();
         let of = |counts: &HashMap<&Name, u64>, name| counts.get(name).copied().unwrap_or_default();
         let mut rates = self.rates.lock();
         let customers = index.catalog().customers.iter();
-        for limits in customers.filter(|c| c.is_limited()) {
+        for customer in customers.filter(|c| c.is_limited()) {
             let rate = rates
-                .entry(limits.name.clone())
-                .or_insert_with(|| SharedTokenBucket::new(now, limits.rate, limits.burst));
-            let total = of(&used, &limits.name);
-            rate.apply_update(now, total, of(&own, &limits.name), is_new, rate_view);
+                .entry(customer.name.clone())
+                .or_insert_with(|| SharedTokenBucket::new(now, customer.rate, customer.burst));
+            let total = of(&used, &customer.name);
+            rate.apply_update(now, total, of(&own, &customer.name), is_new, peer_view);
         }
     }
 
@@ -512,16 +517,16 @@
             "Configuration activated."
         );
         for pool in &catalog.pools {
-            let kept = pool.engine.as_ref().map_or(0, |e| e.tokens);
-            balancer.set_cache_tokens(&pool.name, kept);
+            let cache_tokens = pool.engine.as_ref().map_or(0, |e| e.tokens);
+            balancer.set_cache_tokens(&pool.name, cache_tokens);
         }
         self.index.store(Arc::new(CatalogIndex::new(catalog)));
         drop(balancer);
-        let rate_view = self.rate_view(now);
+        let peer_view = self.peer_view(now);
         let mut rates = self.rates.lock();
         for customer in &catalog.customers {
             if let Some(rate) = rates.get_mut(&customer.name) {
-                rate.set_limits(now, customer.rate, customer.burst, rate_view);
+                rate.set_limits(now, customer.rate, customer.burst, peer_view);
             }
         }
     }
--- a/crates/sequoiawing_hub/src/aggregation.rs
+++ b/crates/sequoiawing_hub/src/aggregation.rs
@@ -27,25 +27,27 @@
 struct Gateway {
     incarnation: u64,
     /// When the last report was received, here or by another hub.
-    heard: Time,
+    #[serde(rename = "heard")]
+    last_report: Time,
     leaving: bool,
     used: BTreeMap<Name, u64>,
     unreachable: Vec<Name>,
     reached: Vec<Name>,
     /// The stamp of its last report to this hub; 0 if there was none.
-    reported: u64,
+    #[serde(rename = "reported")]
+    report_stamp: u64,
 }
 
 impl Gateway {
-    fn new(incarnation: u64, heard: Time) -> Self {
+    fn new(incarnation: u64, last_report: Time) -> Self {
         Self {
             incarnation,
-            heard,
+            last_report,
             leaving: false,
             used: BTreeMap::new(),
             unreachable: Vec::new(),
             reached: Vec::new(),
-            reported: 0,
+            report_stamp: 0,
         }
     }
 
@@ -59,7 +61,7 @@
     }
 
     fn is_present(&self, now: Time) -> bool {
-        now.since(self.heard) <= self.presence_timeout()
+        now.since(self.last_report) <= self.presence_timeout()
     }
 }
 
@@ -94,36 +96,36 @@
         };
         self.merge(now, &usage);
         if let Some(gateway) = self.gateways.get_mut(&report.host) {
-            gateway.reported = stamp;
+            gateway.report_stamp = stamp;
         }
     }
 
     /// Merges the usage that a gateway reported to another hub.
     pub fn merge(&mut self, now: Time, usage: &GatewayUsage) {
         // A report from before this process's start counts as of its start.
-        let heard = Time::ZERO + now.since(Time::ZERO + Duration::from_millis(usage.age));
+        let last_report = Time::ZERO + now.since(Time::ZERO + Duration::from_millis(usage.age));
         if !self.gateways.contains_key(&usage.host) {
             self.is_rebuilt |= usage.used.iter().any(|(_, used)| *used > 0);
         }
         let gateway = self.gateways.entry(usage.host.clone());
-        let gateway = gateway.or_insert_with(|| Gateway::new(usage.incarnation, heard));
+        let gateway = gateway.or_insert_with(|| Gateway::new(usage.incarnation, last_report));
         if usage.incarnation < gateway.incarnation {
             return;
         }
         if usage.incarnation > gateway.incarnation {
-            *gateway = Gateway::new(usage.incarnation, heard);
+            *gateway = Gateway::new(usage.incarnation, last_report);
         }
-        if heard >= gateway.heard {
-            gateway.heard = heard;
+        if last_report >= gateway.last_report {
+            gateway.last_report = last_report;
             gateway.leaving = usage.leaving;
             gateway.unreachable.clone_from(&usage.unreachable);
             gateway.reached.clone_from(&usage.reached);
         }
         for (customer, used) in &usage.used {
             let known = gateway.used.entry(customer.clone()).or_default();
-            let fresh = used.saturating_sub(*known);
-            *known += fresh;
-            *self.totals.entry(customer.clone()).or_default() += fresh;
+            let increase = used.saturating_sub(*known);
+            *known += increase;
+            *self.totals.entry(customer.clone()).or_default() += increase;
         }
     }
 
@@ -132,7 +134,7 @@
     pub fn changes_since(&self, now: Time, stamp: u64) -> (u64, Vec<GatewayUsage>) {
         // A stamp from before this hub's restart exceeds the current ones.
         let after = if stamp > self.stamp { 0 } else { stamp };
-        let newer = self.gateways.iter().filter(|(_, g)| g.reported > after);
+        let newer = self.gateways.iter().filter(|(_, g)| g.report_stamp > after);
         let usage = newer.map(|(host, g)| GatewayUsage {
             host: host.clone(),
             incarnation: g.incarnation,
@@ -140,14 +142,15 @@
             used: g.used.iter().map(|(n, u)| (n.clone(), *u)).collect(),
             unreachable: g.unreachable.clone(),
             reached: g.reached.clone(),
-            age: u64::try_from(now.since(g.heard).as_millis()).unwrap_or(u64::MAX),
+            age: u64::try_from(now.since(g.last_report).as_millis()).unwrap_or(u64::MAX),
         });
         (self.stamp, usage.collect())
     }
 
     /// Removes gateways whose last report is older than the retention period.
     pub fn expire(&mut self, now: Time) {
-        self.gateways.retain(|_, g| now.since(g.heard) <= RETENTION);
+        self.gateways
+            .retain(|_, g| now.since(g.last_report) <= RETENTION);
     }
 
     /// Returns the total usage of each customer.
@@ -168,25 +171,25 @@
     /// Only gateways that recently tried an upstream count, since in a large
     /// deployment most have not.
     pub fn unreachable(&self, now: Time) -> BTreeSet<Name> {
-        let is_fresh = |g: &&Gateway| now.since(g.heard) <= MISSING_AFTER;
-        let fresh: Vec<&Gateway> = self.gateways.values().filter(is_fresh).collect();
+        let is_connected = |g: &&Gateway| now.since(g.last_report) <= MISSING_AFTER;
+        let connected: Vec<&Gateway> = self.gateways.values().filter(is_connected).collect();
         let mut counts: BTreeMap<&Name, (usize, usize)> = BTreeMap::new();
-        for gateway in &fresh {
+        for gateway in &connected {
             for name in &gateway.unreachable {
                 counts.entry(name).or_default().0 += 1;
             }
         }
-        for gateway in &fresh {
+        for gateway in &connected {
             for name in &gateway.reached {
                 if let Some((_, reached)) = counts.get_mut(name) {
                     *reached += 1;
                 }
             }
         }
-        let required = fresh.len().min(MIN_FAILED_GATEWAYS);
+        let required = connected.len().min(MIN_FAILED_GATEWAYS);
         let confirmed = counts.into_iter();
         let confirmed =
-            confirmed.filter(|(_, (missed, reached))| *missed >= required && missed > reached);
+            confirmed.filter(|(_, (failed, reached))| *failed >= required && failed > reached);
         confirmed.map(|(name, _)| name.clone()).collect()
     }
 
@@ -197,7 +200,7 @@
             .values()
             .filter(|g| g.is_present(now))
             .collect();
-        let is_missing = |g: &&&Gateway| now.since(g.heard) > MISSING_AFTER;
+        let is_missing = |g: &&&Gateway| now.since(g.last_report) > MISSING_AFTER;
         let missing = present.iter().filter(is_missing).count();
         let count = |n| u32::try_from(n).unwrap_or(u32::MAX);
         (count(present.len()), count(missing))
@@ -214,13 +217,18 @@
 impl DemandDeduplicator {
     /// Records a report and returns the demand of its new batches.
     pub fn accept(&mut self, report: &GatewayReport) -> Vec<ModelDemand> {
-        let known = self.gateways.entry(report.host.clone()).or_default();
-        let former = *known;
-        let is_new = |batch: &&DemandBatch| (report.incarnation, batch.number) > former;
-        let fresh: Vec<&DemandBatch> = report.demand.iter().filter(is_new).collect();
-        let newest = fresh.iter().map(|b| (report.incarnation, b.number)).max();
-        *known = newest.unwrap_or(former);
-        let demand = fresh.into_iter().flat_map(|b| b.demand.iter().cloned());
+        let last = self.gateways.entry(report.host.clone()).or_default();
+        let previous = *last;
+        let is_new = |batch: &&DemandBatch| (report.incarnation, batch.number) > previous;
+        let new_batches: Vec<&DemandBatch> = report.demand.iter().filter(is_new).collect();
+        let newest = new_batches
+            .iter()
+            .map(|b| (report.incarnation, b.number))
+            .max();
+        *last = newest.unwrap_or(previous);
+        let demand = new_batches
+            .into_iter()
+            .flat_map(|b| b.demand.iter().cloned());
         demand.collect()
     }
 
--- a/crates/sequoiawing_hub/src/handover.rs
+++ b/crates/sequoiawing_hub/src/handover.rs
@@ -21,9 +21,9 @@
     loop {
         let own = state.settings.link.ip();
         let others = state.hubs().into_iter().filter(|host| *host != own);
-        let responses = join_all(others.map(|host| fetch_facts(state, host))).await;
-        let facts = responses.into_iter().flatten();
-        let ages = facts.map(|facts| Duration::from_millis(facts.order_age));
+        let responses = join_all(others.map(|host| fetch_info(state, host))).await;
+        let infos = responses.into_iter().flatten();
+        let ages = infos.map(|info| Duration::from_millis(info.order_age));
         let remaining = handover_wait(quiet, ages);
         if remaining.is_zero() {
             return;
@@ -36,12 +36,12 @@
     }
 }
 
-async fn fetch_facts(state: &HubState, host: IpAddr) -> Option<HubInfo> {
+async fn fetch_info(state: &HubState, host: IpAddr) -> Option<HubInfo> {
     let call = async |client: HubClient, context| client.facts(context).await;
     match state.stub(host).call(CALL_TIMEOUT, call).await {
-        Ok(facts) => Some(facts),
+        Ok(info) => Some(info),
         Err(error) => {
-            log::info!(target: "loader", "Failed to get the facts of the hub on {host}: {error}.");
+            log::info!(target: "loader", "Failed to get information from the hub on {host}: {error}.");
             None
         }
     }
--- a/crates/sequoiawing_hub/src/hub.rs
+++ b/crates/sequoiawing_hub/src/hub.rs
@@ -127,15 +127,15 @@
         let wait = Duration::from_millis(report.wait);
         let is_new = |seen: &u64| *seen != report.seen;
         timeout(wait, self.changes.wait_until(is_new)).await;
-        self.build_news(report)
+        self.build_reply(report)
     }
 
     fn record_report(&self, report: &GatewayReport) {
-        let fresh = self.demand.lock().accept(report);
+        let new_demand = self.demand.lock().accept(report);
         if self.handle.leadership().is_some() {
-            self.add_demand(fresh);
-        } else if !fresh.is_empty() {
-            self.outgoing_demand.lock().extend(fresh);
+            self.add_demand(new_demand);
+        } else if !new_demand.is_empty() {
+            self.outgoing_demand.lock().extend(new_demand);
             self.demand_queued.notify(1);
         }
         self.usage.lock().record(self.now(), report);
@@ -143,13 +143,13 @@
     }
 
     /// Adds demand for the loader if this host leads, and drops it otherwise.
-    pub(crate) fn add_demand(&self, fresh: Vec<ModelDemand>) {
-        if fresh.is_empty() || self.handle.leadership().is_none() {
+    pub(crate) fn add_demand(&self, demand: Vec<ModelDemand>) {
+        if demand.is_empty() || self.handle.leadership().is_none() {
             return;
         }
-        let has_missed = fresh.iter().any(|d| d.missed + d.crowded > 0);
-        self.pending_demand.lock().extend(fresh);
-        if has_missed {
+        let is_unmet = demand.iter().any(|d| d.missed + d.crowded > 0);
+        self.pending_demand.lock().extend(demand);
+        if is_unmet {
             self.wake_loader();
         }
     }
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Returns the facts by which gateways choose among hubs.
-    pub(crate) fn facts(&self) -> HubInfo {
+    /// Returns the information by which gateways choose among hubs.
+    pub(crate) fn info(&self) -> HubInfo {
         HubInfo {
             centre: self.settings.centre.clone(),
             hubs: self.hubs(),
@@ -188,7 +188,7 @@
         }
     }
 
-    fn build_news(&self, report: &GatewayReport) -> SyncReply {
+    fn build_reply(&self, report: &GatewayReport) -> SyncReply {
         let now = self.now();
         let seen = self.changes.get();
         let usage = self.usage.lock();
@@ -197,15 +197,15 @@
         let settled = !usage.is_rebuilt() || now >= Time::ZERO + USAGE_SETTLE_TIME;
         drop(usage);
         let roster = self.roster.lock();
-        let news = roster.updates_since(report.cursor, Interest::Changes);
+        let roster_update = roster.updates_since(report.cursor, Interest::Changes);
         let silent = roster.silent(now, self.settings.silence_timeout);
         drop(roster);
         let catalog = self.handle.tables().catalog.clone();
         SyncReply {
             epoch: self.epoch,
-            facts: self.facts(),
+            facts: self.info(),
             catalog: (catalog.version > report.version).then_some(catalog),
-            roster: news,
+            roster: roster_update,
             silent,
             used,
             settled,
@@ -250,8 +250,8 @@
                 .map(|l| (l.model.clone(), l.upstream.clone()))
                 .collect()
         };
-        let is_same = current.as_ref().is_some_and(|(_, former)| {
-            former.evicted == ordered.evicted && targets(former) == targets(&ordered)
+        let is_same = current.as_ref().is_some_and(|(_, previous)| {
+            previous.evicted == ordered.evicted && targets(previous) == targets(&ordered)
         });
         *current = Some((now, ordered));
         drop(current);
@@ -501,7 +501,7 @@
         R: Fn(Stub<HubClient>) -> RF,
         RF: Future<Output = Result<Result<T, ControlError>, sequoiawing_link::LinkError>>,
     {
-        let work = async {
+        let calls = async {
             loop {
                 let failure = match local().await {
                     Err(ControlError::NotLeader { leader: Some(at) }) => {
@@ -523,7 +523,7 @@
                 sleep(LEADER_RETRY_DELAY).await;
             }
         };
-        let result = timeout(LEADER_TIMEOUT, Box::pin(work)).await;
+        let result = timeout(LEADER_TIMEOUT, Box::pin(calls)).await;
         result.unwrap_or(Err(ControlError::Uncertain))
     }
 }
--- a/crates/sequoiawing_hub/src/service.rs
+++ b/crates/sequoiawing_hub/src/service.rs
@@ -18,7 +18,7 @@
     }
 
     async fn facts(self, _: Context) -> HubInfo {
-        self.state.facts()
+        self.state.info()
     }
 
     async fn mirror(self, _: Context, request: MirrorRequest) -> MirrorReply {
--- a/crates/sequoiawing_hub/tests/aggregation.rs
+++ b/crates/sequoiawing_hub/tests/aggregation.rs
@@ -153,8 +153,8 @@
     let now = Time::from_millis(500);
     usage.record(now, &report("a", 1, 10));
     usage.merge(now, &forwarded("b", 1, 5, 0));
-    let (stamp, passed) = usage.changes_since(Time::from_millis(600), 0);
-    assert_eq!(passed, [forwarded("a", 1, 10, 100)]);
+    let (stamp, changes) = usage.changes_since(Time::from_millis(600), 0);
+    assert_eq!(changes, [forwarded("a", 1, 10, 100)]);
     assert!(
         usage.changes_since(now, stamp).1.is_empty(),
         "usage is forwarded once per stamp"
--- a/crates/sequoiawing_policy/src/place/allotments.rs
+++ b/crates/sequoiawing_policy/src/place/allotments.rs
@@ -98,13 +98,13 @@
     /// whether the log refused a part of the request.
     pub(crate) fn confirm(&mut self, target: &Target, count: Option<u32>) -> bool {
         let allotment = self.models.entry(target.clone()).or_default();
-        let asked = allotment.requested.take();
+        let requested = allotment.requested.take();
         allotment.confirmed = count;
         let Some(count) = count else {
             return false;
         };
-        allotment.allotted = Some(asked.map_or(count, |a| count.min(a)));
-        asked.is_some_and(|a| count < a)
+        allotment.allotted = Some(requested.map_or(count, |a| count.min(a)));
+        requested.is_some_and(|a| count < a)
     }
 
     /// Returns whether other data centres should be asked now to release their
--- a/crates/sequoiawing_policy/src/place/announcements.rs
+++ b/crates/sequoiawing_policy/src/place/announcements.rs
@@ -40,7 +40,7 @@
         if let Some(runner) = known {
             if state.version() <= runner.state.version() {
                 // The routers' registry lists it again, so it is alive.
-                runner.gone = None;
+                runner.expired_at = None;
                 return;
             }
             runner.announce(now, state.clone());
@@ -130,11 +130,11 @@
         }
     }
 
-    /// Removes the upstreams that have been gone for long enough to be presumed
+    /// Removes the upstreams that have been silent for long enough to be presumed
     /// dead.
     pub(crate) fn presume_dead(&mut self, now: Time) {
         let limit = self.settings.dead_after;
-        let is_dead = |r: &Runner| r.gone.is_some() && now >= r.seen + limit;
+        let is_dead = |r: &Runner| r.expired_at.is_some() && now >= r.last_announced + limit;
         let dead = self.runners.iter().filter(|(_, r)| is_dead(r));
         let dead: Vec<Name> = dead.map(|(name, _)| name.clone()).collect();
         for name in dead {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Sends the leader's fencing number to upstreams that check it. Their next
+    /// Sends the leader's fencing token to upstreams that check it. Their next
     /// announcement then shows the effects of all older orders.
     pub(crate) fn send_fences(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
         let Some(leadership) = self.leadership else {
@@ -159,7 +159,7 @@
         let is_due = |r: &Runner| {
             let is_behind = r.state.fenced && r.state.fence < leadership.term;
             let may_resend = r.fenced.is_none_or(|at| now >= at + resend);
-            is_behind && may_resend && r.gone.is_none()
+            is_behind && may_resend && r.expired_at.is_none()
         };
         let due = self.runners.iter().filter(|(_, r)| is_due(r));
         let due: Vec<(Name, Name)> = due
@@ -250,7 +250,7 @@
             return;
         };
         runner.record_failure(now, &target.1);
-        if runner.gone.is_none() {
+        if runner.expired_at.is_none() {
             let model = target.1.clone();
             self.send(now, &upstream, &target, OrderKind::Unload { model }, out);
         }
--- a/crates/sequoiawing_policy/src/place/estimate.rs
+++ b/crates/sequoiawing_policy/src/place/estimate.rs
@@ -21,8 +21,8 @@
 
     /// Returns the shortest estimated load time of the model.
     pub(crate) fn best_estimate(&self, target: &Target, memory: u64) -> Duration {
-        let place = self.nearest(target, memory);
-        self.load_times.estimate(&target.1, memory, place)
+        let location = self.nearest(target, memory);
+        self.load_times.estimate(&target.1, memory, location)
     }
 
     /// Returns the nearest location of the model's checkpoint.
@@ -30,28 +30,28 @@
         let runners = self.runners.values();
         let usable = runners.filter(|r| r.is_usable() && r.state.pool == target.0);
         let fitting = usable.filter(|r| r.state.memory >= memory);
-        let places = fitting.map(|r| CheckpointLocation::of(&r.state, &target.1));
-        places.min().unwrap_or_default()
+        let locations = fitting.map(|r| CheckpointLocation::of(&r.state, &target.1));
+        locations.min().unwrap_or_default()
     }
 
-    /// Returns the state of the model's order.
-    pub(crate) fn order_state(&self, now: Time, target: &Target, memory: u64) -> DemandStatus {
+    /// Returns the status of the demand for the model.
+    pub(crate) fn demand_status(&self, now: Time, target: &Target, memory: u64) -> DemandStatus {
         let loads = self.orders.iter();
         let loads = loads.filter(|o| o.is_load() && o.target == *target && !o.is_late);
         let is_usable = |name: &Name| self.runners.get(name).is_some_and(Runner::is_usable);
         let loads = loads.filter(|o| is_usable(&o.upstream));
         let running = loads.map(|o| self.time_left(now, o)).min();
-        let left = running.unwrap_or_else(|| self.time_to_load(now, target, memory));
+        let remaining = running.unwrap_or_else(|| self.time_to_load(now, target, memory));
         let runners = self.runners.values();
         let is_loaded = |r: &Runner| r.is_usable() && r.state.has_model(&target.1);
         let is_loaded = runners.filter(|r| r.state.pool == target.0).any(is_loaded);
         let (serving, loading) = self.remote_replicas(target);
         let is_unknown = running.is_none() && loading > 0 || !self.is_estimable(target, memory);
         let is_served = is_loaded || serving > 0 || is_unknown;
-        let left = if is_served { Duration::ZERO } else { left };
+        let remaining = if is_served { Duration::ZERO } else { remaining };
         DemandStatus {
             decided: is_loaded || running.is_some() || serving + loading > 0,
-            estimate: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
+            estimate: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX),
             problem: None,
         }
     }
--- a/crates/sequoiawing_policy/src/place/event.rs
+++ b/crates/sequoiawing_policy/src/place/event.rs
@@ -10,7 +10,7 @@
 /// The parameters with which a host leads its cell.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Leadership {
-    /// The term, which is the fencing number of all orders.
+    /// The term, which is the fencing token of all orders.
     pub term: u64,
     /// The identifier that precedes that of the first order. It must exceed all
     /// identifiers used in the term, including those of an earlier run of this
@@ -84,7 +84,7 @@
     Replied {
         /// The order.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: Option<OrderReply>,
     },
     /// The owner of the fleet's load budget granted a part of it. The first
--- a/crates/sequoiawing_policy/src/place/placement.rs
+++ b/crates/sequoiawing_policy/src/place/placement.rs
@@ -61,7 +61,7 @@
 
 impl ChoosePlacement for FirstFit {
     fn choose(&self, placements: &[Placement<'_>]) -> usize {
-        placements.iter().position(|s| s.has_room).unwrap_or(0)
+        placements.iter().position(|p| p.has_room).unwrap_or(0)
     }
 }
 
--- a/crates/sequoiawing_policy/src/place/placement_search.rs
+++ b/crates/sequoiawing_policy/src/place/placement_search.rs
@@ -35,7 +35,7 @@
         let free = usable.filter(|r| !r.holds(&need.model) && !r.is_backing_off(now, &need.model));
         let free = free.filter(|r| !self.orders.has(&r.state.name, &target));
         let placements = free.filter_map(|r| self.placement(now, need, r));
-        let reachable = |s: &Placement<'_>| has_store || s.checkpoint != CheckpointLocation::Remote;
+        let reachable = |p: &Placement<'_>| has_store || p.checkpoint != CheckpointLocation::Remote;
         placements.filter(reachable).collect()
     }
 
--- a/crates/sequoiawing_policy/src/place/placer.rs
+++ b/crates/sequoiawing_policy/src/place/placer.rs
@@ -1,7 +1,7 @@
 use crate::{
-    CheapestReload, ChoosePlacement, CountReplicas, FairDeadline, KeepAlive, Leadership,
-    LearnedKeepAlive, NearestCheckpoint, PlaceAction, PlaceEvent, PlaceSettings, RankVictims,
-    SequenceLoads, TokenDemand,
+    CheapestReload, CheckpointLocation, ChoosePlacement, CountReplicas, FairDeadline, KeepAlive,
+    Leadership, LearnedKeepAlive, NearestCheckpoint, PlaceAction, PlaceEvent, PlaceSettings,
+    RankVictims, SequenceLoads, TokenDemand,
     place::{
         adapter_demands::AdapterDemands,
         allotments::{Allotments, Target},
@@ -146,7 +146,7 @@
         self.allotments.counts()
     }
 
-    /// Applies a router's demand and returns the state of its order.
+    /// Applies a router's demand and returns its status.
     pub fn demand(
         &mut self,
         now: Time,
@@ -174,11 +174,11 @@
         self.plan(now, out);
         self.report_demand(now, out);
         self.record(out);
-        let state = self.order_state(now, &target, memory);
-        let hold = Duration::from_millis(state.estimate) * HOLD_FACTOR;
+        let status = self.demand_status(now, &target, memory);
+        let hold = Duration::from_millis(status.estimate) * HOLD_FACTOR;
         let until = now + hold.clamp(lifetime, MAX_HOLD);
         self.demands.keep_until(now, &target, until);
-        state
+        status
     }
 
     /// Handles an event and appends the resulting actions to `out`.
@@ -197,7 +197,7 @@
             PlaceEvent::Gone { upstream } => {
                 self.remote.remove(&upstream);
                 if let Some(runner) = self.runners.get_mut(&upstream) {
-                    runner.gone.get_or_insert(now);
+                    runner.expired_at.get_or_insert(now);
                 }
             }
             PlaceEvent::Allotted { pool, model, count } => {
@@ -323,9 +323,13 @@
 
     /// Counts the running loads from the weight store.
     pub(crate) fn store_loads(&self) -> u32 {
-        let is_alive = |name: &Name| self.runners.get(name).is_some_and(|r| r.gone.is_none());
+        let is_alive = |name: &Name| {
+            self.runners
+                .get(name)
+                .is_some_and(|r| r.expired_at.is_none())
+        };
         let loads = self.orders.iter().filter(|o| o.is_load());
-        let loads = loads.filter(|o| o.checkpoint == crate::CheckpointLocation::Remote);
+        let loads = loads.filter(|o| o.checkpoint == CheckpointLocation::Remote);
         let count = loads.filter(|o| is_alive(&o.upstream)).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
--- a/crates/sequoiawing_policy/src/place/plan.rs
+++ b/crates/sequoiawing_policy/src/place/plan.rs
@@ -31,8 +31,8 @@
         let mut needs = Vec::new();
         for (need, want) in wanted {
             let target = (need.pool.clone(), need.model.clone());
-            let held = self.replicas(&target);
-            if self.allotments.allotted(&target) > held {
+            let replicas = self.replicas(&target);
+            if self.allotments.allotted(&target) > replicas {
                 needs.push(need);
             } else {
                 self.request_allotment(now, &target, want, out);
@@ -51,15 +51,15 @@
         wanted: &ModelDemand,
     ) -> Option<(LoadNeed, u32)> {
         let model = self.model(target)?;
-        let held = self.replicas(target);
+        let replicas = self.replicas(target);
         let (serving, loading) = self.remote_replicas(target);
-        let is_extra = held + serving + loading > 0;
+        let is_extra = replicas + serving + loading > 0;
         let loading = if wanted.is_urgent(now) { 0 } else { loading };
         let want = self
             .wanted_replicas(now, target, wanted)
             .min(model.replicas);
         let want = want.saturating_sub(serving + loading);
-        if held >= want {
+        if replicas >= want {
             return None;
         }
         let need = LoadNeed {
@@ -92,14 +92,14 @@
         let serving = holders.iter().filter(is_serving).count();
         let loading = holders.len().saturating_sub(idle + serving);
         let mut demand = wanted.sum(now);
-        let (serving_there, loading_there) = self.remote_replicas(target);
-        let loading_there = if wanted.is_urgent(now) {
+        let (remote_serving, remote_loading) = self.remote_replicas(target);
+        let remote_loading = if wanted.is_urgent(now) {
             0
         } else {
-            loading_there
+            remote_loading
         };
-        demand.serving = u32::try_from(serving).unwrap_or(u32::MAX) + serving_there;
-        demand.loading = u32::try_from(loading).unwrap_or(u32::MAX) + loading_there;
+        demand.serving = u32::try_from(serving).unwrap_or(u32::MAX) + remote_serving;
+        demand.loading = u32::try_from(loading).unwrap_or(u32::MAX) + remote_loading;
         let slots = self.runners.values().filter(|r| r.state.pool == target.0);
         let slots = slots.map(|r| r.state.slots).min();
         demand.slots = slots.unwrap_or(DEFAULT_SLOTS);
--- a/crates/sequoiawing_policy/src/place/runner.rs
+++ b/crates/sequoiawing_policy/src/place/runner.rs
@@ -41,9 +41,9 @@
 pub(crate) struct Runner {
     pub(crate) state: Arc<UpstreamState>,
     /// When the latest announcement arrived.
-    pub(crate) seen: Time,
+    pub(crate) last_announced: Time,
     /// When its announcements expired.
-    pub(crate) gone: Option<Time>,
+    pub(crate) expired_at: Option<Time>,
     /// The version of its announcement at the start of this leadership.
     initial_version: Option<(u64, u64)>,
     pub(crate) replicas: BTreeMap<Name, Replica>,
@@ -59,7 +59,7 @@
     /// The time until which orders sent before a gap in its announcements may
     /// still arrive.
     blocked_until: Time,
-    /// When the leader's fencing number was last sent to it.
+    /// When the leader's fencing token was last sent to it.
     pub(crate) fenced: Option<Time>,
 }
 
@@ -67,8 +67,8 @@
     pub(crate) fn new(now: Time, state: Arc<UpstreamState>) -> Self {
         let mut runner = Self {
             state: Arc::default(),
-            seen: now,
-            gone: None,
+            last_announced: now,
+            expired_at: None,
             initial_version: None,
             replicas: BTreeMap::new(),
             sizes: BTreeMap::new(),
@@ -102,10 +102,10 @@
                 replica.was_used = true;
             }
         }
-        if self.gone.take().is_some() {
+        if self.expired_at.take().is_some() {
             self.stable_since = now;
         }
-        self.seen = now;
+        self.last_announced = now;
         self.state = state;
     }
 
@@ -121,14 +121,14 @@
     pub(crate) fn is_synced(&self, now: Time, leadership: &Leadership, since: Time) -> bool {
         let is_fresh = self
             .initial_version
-            .is_none_or(|b| self.state.version() > b);
+            .is_none_or(|initial| self.state.version() > initial);
         if self.state.fenced && is_fresh && self.state.fence >= leadership.term {
             return true;
         }
         let grace_end = since + leadership.order_grace;
-        let waited = now >= grace_end;
-        let heard = self.seen >= grace_end || self.gone.is_some();
-        waited && heard && (is_fresh || self.gone.is_some())
+        let has_waited = now >= grace_end;
+        let has_announced = self.last_announced >= grace_end || self.expired_at.is_some();
+        has_waited && has_announced && (is_fresh || self.expired_at.is_some())
     }
 
     /// Blocks new loads until orders sent before a gap in its announcements
@@ -145,7 +145,7 @@
 
     /// Returns whether the upstream may be given new work.
     pub(crate) fn is_usable(&self) -> bool {
-        self.gone.is_none() && !self.state.leaving
+        self.expired_at.is_none() && !self.state.leaving
     }
 
     /// Returns whether the upstream announced the model as loaded or loading.
--- a/crates/sequoiawing_policy/src/place/shares.rs
+++ b/crates/sequoiawing_policy/src/place/shares.rs
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-/// How long a data centre gives up a share that it was asked to release.
+/// How long a data centre releases a share that it was asked to release.
 const RECALL_TIME: Duration = Duration::from_secs(10);
 
 /// The data centre's shares, and the allotments to request once the cell has
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Gives up the share of a model to another data centre for a while, unless
+    /// Releases the share of a model to another data centre for a while, unless
     /// it is needed here.
     pub(crate) fn recall(&mut self, now: Time, target: &Target) {
         let until = now + RECALL_TIME;
@@ -151,8 +151,9 @@
         let default = self.shares.defaults.get(target).copied().unwrap_or(0);
         let memory = self.model(target).map_or(0, |m| m.memory);
         let mut runners = self.runners.values().map(|r| &r.state);
-        let has_place = default > 0 && runners.any(|s| s.pool == target.0 && s.memory >= memory);
-        if !has_place || self.shares.recalled.contains_key(target) {
+        let fits_upstream =
+            default > 0 && runners.any(|s| s.pool == target.0 && s.memory >= memory);
+        if !fits_upstream || self.shares.recalled.contains_key(target) {
             return 0;
         }
         default
@@ -174,8 +175,8 @@
                 AllotmentState::Above => true,
                 AllotmentState::Below => self.allotments.may_claim(now, &target),
             };
-            let is_asked = is_due && self.request_allotment(now, &target, keep, out);
-            if is_asked && state == AllotmentState::Below {
+            let is_requested = is_due && self.request_allotment(now, &target, keep, out);
+            if is_requested && state == AllotmentState::Below {
                 self.allotments.set_claimed(now, &target);
             }
         }
--- a/crates/sequoiawing_policy/src/place/store_usage.rs
+++ b/crates/sequoiawing_policy/src/place/store_usage.rs
@@ -32,7 +32,7 @@
         let silent = self.orders.iter().filter(|o| {
             let is_remote = o.is_load() && o.checkpoint == CheckpointLocation::Remote;
             let runner = self.runners.get(&o.upstream);
-            is_remote && runner.is_none_or(|r| r.gone.is_some())
+            is_remote && runner.is_none_or(|r| r.expired_at.is_some())
         });
         let adapters = self.orders.iter().filter(|o| o.is_adapter_load());
         StoreUsage {
@@ -49,7 +49,7 @@
     where
         F: Fn(&Name) -> bool,
     {
-        let alive = self.runners.values().filter(|r| r.gone.is_none());
+        let alive = self.runners.values().filter(|r| r.expired_at.is_none());
         let loads = alive.flat_map(|r| r.state.loading.iter().map(move |n| (r, n)));
         let others = loads.filter(|(r, n)| is_counted(n) && !self.is_ordered(r, n));
         count(others.count())
--- a/crates/sequoiawing_policy/src/place/unload.rs
+++ b/crates/sequoiawing_policy/src/place/unload.rs
@@ -20,7 +20,7 @@
                 continue;
             }
             let runners = self.runners.values();
-            let alive = runners.filter(|r| r.gone.is_none() && r.state.pool == target.0);
+            let alive = runners.filter(|r| r.expired_at.is_none() && r.state.pool == target.0);
             let idle = alive.filter(|r| !r.state.active.contains(&target.1));
             let idle = idle.filter_map(|r| Some((r.replicas.get(&target.1)?.last_used, r)));
             let idle = idle.filter(|(_, r)| !self.orders.has(&r.state.name, &target));
@@ -49,7 +49,7 @@
     pub(crate) fn unload_idle(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
         let mut idle: Vec<(Name, Target)> = Vec::new();
         for (name, runner) in &self.runners {
-            if runner.gone.is_some() {
+            if runner.expired_at.is_some() {
                 continue;
             }
             for (model, replica) in &runner.replicas {
@@ -94,7 +94,7 @@
         let Some(runner) = self.runners.values().nth(cursor) else {
             return;
         };
-        if runner.gone.is_some() {
+        if runner.expired_at.is_some() {
             return;
         }
         let state = &runner.state;
--- a/crates/sequoiawing_policy/src/serving/loader/demand.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/demand.rs
@@ -52,9 +52,9 @@
 /// A number of requests and whether any of them was not served.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DemandSample {
-    pub(super) asked: u64,
-    pub(super) missed: bool,
-    pub(super) saturated: bool,
+    pub(super) requests: u64,
+    pub(super) is_missed: bool,
+    pub(super) is_saturated: bool,
 }
 
 /// Tracks the demand for models and adapters.
@@ -73,19 +73,19 @@
         sample: DemandSample,
     ) {
         let (pool, model, adapter) = key;
-        if let Some(adapter) = adapter.filter(|_| sample.missed) {
+        if let Some(adapter) = adapter.filter(|_| sample.is_missed) {
             let key = (pool.clone(), model.clone(), adapter);
             self.adapters.insert(key, now);
         }
         let rate = self.models.entry((pool, model)).or_default();
         rate.decay(now);
-        let asked = f64::from(u32::try_from(sample.asked).unwrap_or(u32::MAX));
-        rate.long_term += asked;
-        rate.short_term += asked;
-        if sample.missed {
+        let requests = f64::from(u32::try_from(sample.requests).unwrap_or(u32::MAX));
+        rate.long_term += requests;
+        rate.short_term += requests;
+        if sample.is_missed {
             rate.missed = Some(now);
         }
-        if sample.saturated {
+        if sample.is_saturated {
             rate.saturated = Some(now);
         }
     }
--- a/crates/sequoiawing_policy/src/serving/loader/engine.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/engine.rs
@@ -1,4 +1,4 @@
-use super::{Checkpoint, EngineReply, EngineReport, LoaderAction, load_time};
+use super::{EngineReply, EngineReport, LoadSource, LoaderAction, load_time};
 use sequoiawing_catalog::ModelSpec;
 use sequoiawing_fleet::{OrderKind, UpstreamState};
 use sequoiawing_types::{Name, Time};
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) model: Name,
-    pub(super) source: Checkpoint,
+    pub(super) source: LoadSource,
     pub(super) phase: JobPhase,
     memory: u64,
     duration: Duration,
@@ -74,7 +74,7 @@
         (self.phase == JobPhase::Load).then_some(self.memory)
     }
 
-    pub(super) fn new(model: &ModelSpec, source: Checkpoint, evict: Vec<Name>) -> Self {
+    pub(super) fn new(model: &ModelSpec, source: LoadSource, evict: Vec<Name>) -> Self {
         let phase = if evict.is_empty() {
             JobPhase::Load
         } else {
@@ -112,7 +112,7 @@
     /// The loaded adapters, with the time of their last order.
     pub(super) adapters: BTreeMap<Name, Time>,
     /// The adapter ordered last and its estimated completion time.
-    pub(super) fetched: Option<(Name, Time)>,
+    pub(super) last_adapter_load: Option<(Name, Time)>,
     /// The loaded models according to orders and reports, with the time of
     /// loading.
     held: BTreeMap<Name, Time>,
@@ -140,7 +140,7 @@
             job: None,
             is_unreachable: false,
             evicted: BTreeMap::new(),
-            fetched: None,
+            last_adapter_load: None,
             accepted: None,
             pending: None,
             awaiting_report: false,
@@ -253,13 +253,13 @@
     }
 
     /// Returns the fastest source of the weights of a model.
-    pub(super) fn checkpoint(&self, model: &Name) -> Checkpoint {
+    pub(super) fn load_source(&self, model: &Name) -> LoadSource {
         if self.state.cached.contains(model) {
-            Checkpoint::Memory
+            LoadSource::Memory
         } else if self.state.disk.contains(model) {
-            Checkpoint::Disk
+            LoadSource::Disk
         } else {
-            Checkpoint::Store
+            LoadSource::Store
         }
     }
 
@@ -285,7 +285,7 @@
 
     /// Processes the reply to the last order. Returns the source of the load if
     /// one started.
-    pub(super) fn on_reply(&mut self, now: Time, reply: EngineReply) -> Option<Checkpoint> {
+    pub(super) fn on_reply(&mut self, now: Time, reply: EngineReply) -> Option<LoadSource> {
         let pending = self.pending.take()?;
         match reply {
             EngineReply::Started => {
@@ -327,7 +327,7 @@
         }
     }
 
-    fn apply_order(&mut self, now: Time, pending: &PendingOrder) -> Option<Checkpoint> {
+    fn apply_order(&mut self, now: Time, pending: &PendingOrder) -> Option<LoadSource> {
         match pending {
             PendingOrder::Evict(model) => {
                 self.held.remove(model);
@@ -352,7 +352,7 @@
             PendingOrder::LoadAdapter(adapter) => {
                 self.queued_adapters.pop_front();
                 self.adapters.insert(adapter.clone(), now);
-                self.fetched = Some((adapter.clone(), now + ADAPTER_LOAD_DURATION));
+                self.last_adapter_load = Some((adapter.clone(), now + ADAPTER_LOAD_DURATION));
                 None
             }
             PendingOrder::UnloadAdapter(adapter) => {
--- a/crates/sequoiawing_policy/src/serving/loader/inventory.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/inventory.rs
@@ -1,4 +1,4 @@
-use super::{Checkpoint, engine::Engine};
+use super::{LoadSource, engine::Engine};
 use sequoiawing_types::Name;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -28,7 +28,7 @@
         }
         let stored = engine.state.cached.iter().chain(&engine.state.disk);
         let unloaded = stored.filter(|m| !engine.holds(m));
-        let unloaded = unloaded.filter(|m| engine.checkpoint(m) != Checkpoint::Store);
+        let unloaded = unloaded.filter(|m| engine.load_source(m) != LoadSource::Store);
         for model in unloaded.chain(loading) {
             if !self.checkpoints.contains(model) {
                 self.checkpoints.insert(model.clone());
--- a/crates/sequoiawing_policy/src/serving/loader/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/mod.rs
@@ -123,7 +123,7 @@
 
 /// The fastest source from which an engine can load the weights of a model.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Checkpoint {
+enum LoadSource {
     Memory,
     Disk,
     Store,
@@ -188,9 +188,9 @@
                 crowded,
             } => {
                 let sample = DemandSample {
-                    asked,
-                    missed: missed > 0,
-                    saturated: crowded > 0,
+                    requests: asked,
+                    is_missed: missed > 0,
+                    is_saturated: crowded > 0,
                 };
                 self.demands.record(now, (pool, model, adapter), sample);
             }
@@ -256,15 +256,15 @@
             return;
         };
         let started = engine.on_reply(now, reply);
-        if let Some(fetched) = engine.fetched.take() {
+        if let Some((model, ready)) = engine.last_adapter_load.take() {
             self.adapter_plans.push(LoadPlan {
                 pool: engine.state.pool.clone(),
-                model: fetched.0,
+                model,
                 engine: name.clone(),
-                ready: fetched.1,
+                ready,
             });
         }
-        if started == Some(Checkpoint::Store) {
+        if started == Some(LoadSource::Store) {
             self.last_store_load = Some(now);
         }
         if matches!(reply, EngineReply::Rejected | EngineReply::Moved) {
@@ -318,7 +318,7 @@
             let Some((_, model)) = best else {
                 continue;
             };
-            let source = engine.checkpoint(&model.name);
+            let source = engine.load_source(&model.name);
             engine.job = Some(Job::new(model, source, Vec::new()));
             inventory.assign(&name, &model.name, &[]);
         }
@@ -376,7 +376,7 @@
     /// Returns the number of loads from the weight store in progress.
     fn store_loads(&self) -> usize {
         let jobs = self.engines.values().filter_map(|e| e.job.as_ref());
-        jobs.filter(|j| j.source == Checkpoint::Store).count()
+        jobs.filter(|j| j.source == LoadSource::Store).count()
     }
 
     fn may_load_from_store(&self, now: Time, pool: &CatalogPool) -> bool {
@@ -402,7 +402,7 @@
             return;
         }
         let rounds = count(self.queued.len()) / count(inventory.engines).max(1.0) + 1.0;
-        let duration = load_time(model, Checkpoint::Disk) + EVICTION_DURATION;
+        let duration = load_time(model, LoadSource::Disk) + EVICTION_DURATION;
         self.queued.push(LoadPlan {
             pool: pool.name.clone(),
             model: model.name.clone(),
@@ -425,7 +425,7 @@
         // store is not used.
         let has_checkpoint = inventory.has_checkpoint(&model.name);
         let from_store = !has_checkpoint && self.may_load_from_store(now, pool);
-        let mut best: Option<(f64, Name, Checkpoint, Vec<Name>)> = None;
+        let mut best: Option<(f64, Name, LoadSource, Vec<Name>)> = None;
         for (name, free_memory) in &inventory.free {
             let Some(engine) = self.engines.get(name) else {
                 continue;
@@ -433,8 +433,8 @@
             if engine.will_hold(&model.name) {
                 continue;
             }
-            let source = engine.checkpoint(&model.name);
-            if source == Checkpoint::Store && !from_store {
+            let source = engine.load_source(&model.name);
+            if source == LoadSource::Store && !from_store {
                 continue;
             }
             let victims = free_memory.and_then(|free_memory| {
@@ -455,7 +455,7 @@
         let Some((_, name, source, evict)) = best else {
             return false;
         };
-        if source == Checkpoint::Store {
+        if source == LoadSource::Store {
             self.last_store_load = Some(now);
         }
         inventory.assign(&name, &model.name, &evict);
@@ -563,7 +563,7 @@
             let replicas = inventory.replicas(name).saturating_sub(1);
             let rate = self.demands.rate(now, &pool.name, name);
             let lost = (rate - count(replicas) * self.settings.replica_rate).max(0.0);
-            let is_cheap = engine.checkpoint(name) != Checkpoint::Store || replicas > 0;
+            let is_cheap = engine.load_source(name) != LoadSource::Store || replicas > 0;
             let is_used = self.demands.is_recent(now, &pool.name, name);
             lost + if is_cheap { 0.0 } else { RELOAD_VALUE }
                 + if is_used { IN_USE_VALUE } else { 0.0 }
@@ -597,11 +597,11 @@
 /// evicting it waits for them.
 const IN_USE_VALUE: f64 = 0.3;
 
-fn load_time(model: &ModelSpec, source: Checkpoint) -> Duration {
+fn load_time(model: &ModelSpec, source: LoadSource) -> Duration {
     Duration::from_millis(match source {
-        Checkpoint::Memory => model.memory_load,
-        Checkpoint::Disk => model.disk_load,
-        Checkpoint::Store => model.store_load,
+        LoadSource::Memory => model.memory_load,
+        LoadSource::Disk => model.disk_load,
+        LoadSource::Store => model.store_load,
     })
 }
 
