--- a/crates/sequoiawing_budget/src/lender/account.rs
+++ b/crates/sequoiawing_budget/src/lender/account.rs
@@ -28,10 +28,10 @@
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Account {
     pub(super) state: State,
-    /// Whether a former lender may have lent to the borrower.
+    /// Whether a previous lender may have lent to the borrower.
     #[serde(rename = "is_unknown")]
     pub(super) has_unknown_credit: bool,
-    /// Whether the borrower accrued autonomously under a former lender.
+    /// Whether the borrower accrued autonomously under a previous lender.
     #[serde(rename = "was_alone")]
     pub(super) was_autonomous: bool,
     /// The share that the borrower accrues when it is disconnected.
--- a/crates/sequoiawing_budget/src/lender/mod.rs
+++ b/crates/sequoiawing_budget/src/lender/mod.rs
@@ -49,7 +49,7 @@
     accounts: BTreeMap<Name, Account>,
     #[serde(rename = "marks")]
     watermarks: Option<Watermarks>,
-    /// When every lease granted by a former lender has expired.
+    /// When every lease granted by a previous lender has expired.
     #[serde(rename = "settled")]
     settling_until: Time,
     is_settling: bool,
@@ -205,17 +205,17 @@
                 .fill(now, &self.limits, Share::NONE, self.bucket.balance());
             return;
         }
-        let apart = self
+        let disconnected = self
             .accounts
             .values()
             .filter(|a| a.state == State::Disconnected);
-        let apart = apart.fold(Share::NONE, |s, a| s.saturating_add(a.held_share()));
+        let disconnected = disconnected.fold(Share::NONE, |s, a| s.saturating_add(a.held_share()));
         let cap = self.cap(share);
         self.bucket
-            .fill(now, &self.limits, share.saturating_sub(apart), cap);
+            .fill(now, &self.limits, share.saturating_sub(disconnected), cap);
     }
 
-    /// Ends the settling period if all credit that a former lender lent is
+    /// Ends the settling period if all credit that a previous lender lent is
     /// known or has expired.
     fn end_settling(&mut self, now: Time) {
         let is_over = now >= self.settling_until;
--- a/crates/sequoiawing_budget/src/lender/proposals.rs
+++ b/crates/sequoiawing_budget/src/lender/proposals.rs
@@ -62,20 +62,20 @@
         let watermarks = &self.watermarks;
         for (name, account) in &mut self.accounts {
             let own = account.held_share();
-            let logged = watermarks.as_ref().map_or(Share::NONE, |m| m.share(name));
+            let logged = watermarks.as_ref().map_or(Share::NONE, |w| w.share(name));
             let best = account.target.min(own.saturating_add(room)).min(logged);
-            let is_open = account.state != State::Joined;
+            let has_no_session = account.state != State::Joined;
             if best == account.offered || account.is_new() {
                 continue;
             }
             room = room.saturating_sub(best.saturating_sub(own));
             account.offered = best;
             let never_accrued = account.share == Share::NONE && !account.has_unknown_credit;
-            if is_open && never_accrued {
+            if has_no_session && never_accrued {
                 account.acked_stamp = now;
             }
-            let stays_apart = is_open && !never_accrued;
-            let state = if stays_apart {
+            let stays_disconnected = has_no_session && !never_accrued;
+            let state = if stays_disconnected {
                 account.state
             } else {
                 State::Joining
@@ -87,7 +87,7 @@
     /// Returns the shares that have to be reserved in the log.
     fn next_shares(&self) -> BTreeMap<Name, Share> {
         let watermarks = self.watermarks.as_ref();
-        let logged = |n: &Name| watermarks.map_or(Share::NONE, |m| m.share(n));
+        let logged = |n: &Name| watermarks.map_or(Share::NONE, |w| w.share(n));
         let all = self.accounts.iter().filter(|(_, a)| !a.is_new());
         let held = all
             .clone()
--- a/crates/sequoiawing_budget/src/lender/requests.rs
+++ b/crates/sequoiawing_budget/src/lender/requests.rs
@@ -74,7 +74,7 @@
 
     fn join(&mut self, now: Time, from: &Name, request: &BorrowRequest) {
         let until = now + self.timing.max_lease();
-        let is_logged = self.watermarks.as_ref().is_none_or(|m| m.has_centre(from));
+        let is_logged = self.watermarks.as_ref().is_none_or(|w| w.has_centre(from));
         let account = self.accounts.get_mut(from).expect("the account exists");
         if now >= request.stamp + self.timing.min_lease() {
             account.invite(State::Disconnected);
@@ -123,11 +123,11 @@
                 Source::Accrued(_) => apply(&mut self.bucket, entry.kind),
             }
         }
-        let back = request.returned.saturating_sub(account.returned);
-        let back = back.min(account.lent);
+        let returned = request.returned.saturating_sub(account.returned);
+        let returned = returned.min(account.lent);
         account.returned = account.returned.max(request.returned);
-        account.lent -= back;
-        self.bucket.put(back);
+        account.lent -= returned;
+        self.bucket.put(returned);
     }
 
     /// Returns whether a data centre holds more than its share while the excess
@@ -253,7 +253,7 @@
                 && self
                     .watermarks
                     .as_ref()
-                    .is_none_or(|m| m.is_committed_in(self.term)),
+                    .is_none_or(|w| w.is_committed_in(self.term)),
             stamp: self.stamp,
             sent: request.sent,
             lease,
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Estimates when `head` tokens will have accrued.
+    /// Estimates the time until `head_need` tokens will have accrued.
     fn retry(&self, head_need: u64, need: NeedStatus) -> Duration {
         if need == NeedStatus::Pending {
             return PENDING_RETRY;
--- a/crates/sequoiawing_budget/src/lender/view.rs
+++ b/crates/sequoiawing_budget/src/lender/view.rs
@@ -12,7 +12,7 @@
     /// The credit that is not lent to anyone.
     pub balance: u64,
     /// Whether the owner lends. It does not while it waits for leases of a
-    /// former owner to expire.
+    /// previous owner to expire.
     pub lending: bool,
     /// The accounts of the data centres.
     pub centres: Vec<AccountView>,
--- a/crates/sequoiawing_cell/src/record.rs
+++ b/crates/sequoiawing_cell/src/record.rs
@@ -44,7 +44,7 @@
     own: Option<ShareRecord>,
     /// The newest record reported by others. It is kept apart from `own` until
     /// a majority has reported: a restarted member has lost its records and
-    /// must not confirm one that it only heard of.
+    /// must not confirm one that was only reported to it.
     reported: Option<ShareRecord>,
     /// The versions that members had when they last promised to this leader.
     versions: BTreeMap<Name, Version>,
--- a/crates/sequoiawing_controller/examples/log_figures.rs
+++ b/crates/sequoiawing_controller/examples/log_figures.rs
@@ -159,8 +159,8 @@
     let call = stub.call(CALL_TIMEOUT, |c, context| async move {
         c.propose(context, command).await
     });
-    let answer: std::result::Result<Outcome, ControlError> = Box::pin(call).await.ok()?;
-    match answer {
+    let result: std::result::Result<Outcome, ControlError> = Box::pin(call).await.ok()?;
+    match result {
         Ok(Outcome::Accepted(revision)) => Some(revision),
         _ => None,
     }
--- a/crates/sequoiawing_controller/tests/disks.rs
+++ b/crates/sequoiawing_controller/tests/disks.rs
@@ -132,8 +132,8 @@
     }
 }
 
-fn is_accepted(answer: &Result<Outcome, ControlError>) -> bool {
-    matches!(answer, Ok(Outcome::Accepted(_)))
+fn is_accepted(result: &Result<Outcome, ControlError>) -> bool {
+    matches!(result, Ok(Outcome::Accepted(_)))
 }
 
 #[test]
@@ -144,9 +144,9 @@
         let handle = controller.handle();
         assert!(is_accepted(&handle.propose(&edit("before")).await));
         disk.set(DiskState::Full);
-        let answer = handle.propose(&edit("during")).await;
+        let result = handle.propose(&edit("during")).await;
         assert_eq!(
-            answer,
+            result,
             Err(ControlError::Uncertain),
             "it is unknown whether the command was committed"
         );
@@ -156,10 +156,10 @@
             handle.leadership().is_none(),
             "a controller without a working disk must not hold a lease"
         );
-        let answer = handle.propose(&edit("later")).await;
+        let result = handle.propose(&edit("later")).await;
         assert!(
-            matches!(answer, Err(ControlError::Storage(_))),
-            "{answer:?}"
+            matches!(result, Err(ControlError::Storage(_))),
+            "{result:?}"
         );
         disk.set(DiskState::Healthy);
         wait_for(&handle, |s| s.role == "leader").await;
@@ -179,8 +179,8 @@
         let controller = start(&disk).await;
         let handle = controller.handle();
         disk.set(DiskState::SyncFails);
-        let answer = handle.propose(&edit("during")).await;
-        assert_eq!(answer, Err(ControlError::Uncertain));
+        let result = handle.propose(&edit("during")).await;
+        assert_eq!(result, Err(ControlError::Uncertain));
         disk.set(DiskState::Healthy);
         sleep(Duration::from_secs(2)).await;
         let status = wait_for(&handle, |s| s.role == "failed").await;
@@ -200,9 +200,9 @@
         let controller = start(&disk).await;
         let handle = controller.handle();
         disk.set(DiskState::Hangs);
-        let answer = handle.propose(&edit("during")).await;
+        let result = handle.propose(&edit("during")).await;
         assert_eq!(
-            answer,
+            result,
             Err(ControlError::Uncertain),
             "it is unknown whether the command was committed"
         );
@@ -211,10 +211,10 @@
             handle.leadership().is_none(),
             "a controller whose disk hangs must not hold a lease"
         );
-        let answer = handle.propose(&edit("later")).await;
+        let result = handle.propose(&edit("later")).await;
         assert!(
-            matches!(answer, Err(ControlError::NotLeader { .. })),
-            "{answer:?}"
+            matches!(result, Err(ControlError::NotLeader { .. })),
+            "{result:?}"
         );
         disk.set(DiskState::Healthy);
         wait_for(&handle, |s| s.role == "leader").await;
--- a/crates/sequoiawing_fleet/src/announcement.rs
+++ b/crates/sequoiawing_fleet/src/announcement.rs
@@ -73,12 +73,12 @@
 }
 
 impl UpstreamState {
-    /// Reports whether the model is loaded.
+    /// Returns whether the model is loaded.
     pub fn has_model(&self, model: &Name) -> bool {
         self.loaded.contains(model)
     }
 
-    /// Reports whether the model is being loaded.
+    /// Returns whether the model is being loaded.
     pub fn is_loading(&self, model: &Name) -> bool {
         self.loading.contains(model)
     }
@@ -89,7 +89,7 @@
         (self.epoch, self.sequence)
     }
 
-    /// Reports whether the adapter `model:adapter` is loaded.
+    /// Returns whether the adapter `model:adapter` is loaded.
     pub fn has_adapter(&self, adapter: &Name) -> bool {
         self.adapters.contains(adapter)
     }
--- a/crates/sequoiawing_fleet/src/load_delta.rs
+++ b/crates/sequoiawing_fleet/src/load_delta.rs
@@ -44,7 +44,7 @@
 }
 
 impl UpstreamState {
-    /// Reports whether `other` differs at most in the fields that a [`LoadDelta`]
+    /// Returns whether `other` differs at most in the fields that a [`LoadDelta`]
     /// or a [`Renewal`](crate::Renewal) carries.
     pub fn differs_in_load_only(&self, other: &Self) -> bool {
         let without_load = |state: &Self| Self {
--- a/crates/sequoiawing_fleet/src/publisher.rs
+++ b/crates/sequoiawing_fleet/src/publisher.rs
@@ -65,7 +65,7 @@
 /// Returns the part of an upstream's state that other data centres need.
 ///
 /// They neither send it orders nor see its load. Adapters that are being loaded
-/// are left out, since they are ready before other data centres hear of them.
+/// are left out, since they are ready before other data centres learn of them.
 fn published_state(state: &UpstreamState) -> UpstreamState {
     let is_model = |name: &&Name| !name.as_str().contains(':');
     UpstreamState {
@@ -90,8 +90,8 @@
     before: &BTreeMap<Name, UpstreamState>,
     after: &BTreeMap<Name, UpstreamState>,
 ) -> Vec<SummaryChange> {
-    let gone = before.keys().filter(|name| !after.contains_key(*name));
-    let gone = gone.cloned().map(SummaryChange::Remove);
+    let removed = before.keys().filter(|name| !after.contains_key(*name));
+    let removed = removed.cloned().map(SummaryChange::Remove);
     let put = after
         .values()
         .filter_map(|state| match before.get(&state.name) {
@@ -99,7 +99,7 @@
             Some(previous) => Some(change(previous, state)),
             None => Some(SummaryChange::put(state)),
         });
-    gone.chain(put).collect()
+    removed.chain(put).collect()
 }
 
 /// Returns the change between two published states of one upstream.
--- a/crates/sequoiawing_fleet/src/registry.rs
+++ b/crates/sequoiawing_fleet/src/registry.rs
@@ -277,7 +277,7 @@
         self.entries.len() + self.remote.len()
     }
 
-    /// Reports whether there are no live upstreams.
+    /// Returns whether there are no live upstreams.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/sequoiawing_fleet/src/roster.rs
+++ b/crates/sequoiawing_fleet/src/roster.rs
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Applies an announcement; reports whether the known state changed.
+    /// Applies an announcement; returns whether the known state changed.
     pub fn announce(&mut self, now: Time, state: UpstreamState) -> bool {
         let gone = false;
         let state = Arc::new(state);
         self.apply(now, RosterEntry { state, gone })
     }
 
-    /// Marks an upstream as gone because it has left; reports whether the known
+    /// Marks an upstream as gone because it has left; returns whether the known
     /// state changed.
     ///
     /// Without an `epoch`, the known start of the upstream is meant.
@@ -109,7 +109,7 @@
         self.apply(now, RosterEntry { state, gone: true })
     }
 
-    /// Applies an entry of another roster; reports whether the known state
+    /// Applies an entry of another roster; returns whether the known state
     /// changed.
     pub fn apply(&mut self, now: Time, listed: RosterEntry) -> bool {
         let name = listed.state.name.clone();
@@ -255,7 +255,7 @@
     entry.map(|e| e.changed)
 }
 
-/// Reports whether two entries differ at most in fields that do not affect where
+/// Returns whether two entries differ at most in fields that do not affect where
 /// requests are sent: the sequence number, the load and the checkpoints on disk
 /// and in main memory.
 fn is_equivalent(known: &RosterEntry, next: &RosterEntry) -> bool {
--- a/crates/sequoiawing_gateway/src/hub_sync.rs
+++ b/crates/sequoiawing_gateway/src/hub_sync.rs
@@ -45,8 +45,8 @@
             break;
         }
     }
-    // Hubs that receive this gateway's reports are told that it leaves if they
-    // answer in time.
+    // Hubs that receive this gateway's reports are notified that it leaves if
+    // they answer in time.
     for (hub, (session, task)) in tasks {
         drop(task);
         if state.hub_role(hub) != HubRole::Probed {
--- a/crates/sequoiawing_policy/src/dispatch/demands.rs
+++ b/crates/sequoiawing_policy/src/dispatch/demands.rs
@@ -59,25 +59,25 @@
         &mut self,
         now: Time,
         target: Name,
-        state: &DemandStatus,
+        status: &DemandStatus,
         centres: usize,
     ) {
         let demand = self.targets.entry(target).or_default();
-        if state.problem.is_some() && demand.failed_centres < centres {
+        if status.problem.is_some() && demand.failed_centres < centres {
             demand.failed_centres += 1;
             demand.undecided_since = None;
             demand.due = now;
             return;
         }
-        demand.is_decided = state.decided;
-        if state.decided {
+        demand.is_decided = status.decided;
+        if status.decided {
             // From now on the data centre that has the model ranks first.
             demand.undecided_since = None;
             demand.failed_centres = 0;
         }
-        demand.has_problem = state.problem.is_some();
-        let estimate = Duration::from_millis(state.estimate);
-        demand.ready = (state.estimate > 0).then(|| now + estimate);
+        demand.has_problem = status.problem.is_some();
+        let estimate = Duration::from_millis(status.estimate);
+        demand.ready = (status.estimate > 0).then(|| now + estimate);
     }
 
     /// Returns when the target is expected to be loaded, if known.
--- a/crates/sequoiawing_policy/src/dispatch/dispatcher.rs
+++ b/crates/sequoiawing_policy/src/dispatch/dispatcher.rs
@@ -217,12 +217,12 @@
         &mut self,
         now: Time,
         target: &Name,
-        state: &DemandStatus,
+        status: &DemandStatus,
         out: &mut Vec<DispatchAction>,
     ) {
         let centres = self.upstreams.centres();
         self.demands
-            .process_answer(now, target.clone(), state, centres);
+            .process_answer(now, target.clone(), status, centres);
         if self.upstreams.has_target(target) {
             return;
         }
--- a/crates/sequoiawing_policy/src/dispatch/settings.rs
+++ b/crates/sequoiawing_policy/src/dispatch/settings.rs
@@ -19,7 +19,7 @@
     /// Whether demands are also sent to the leaders of other data centres. All
     /// routers then ask the leaders in the same order.
     pub cross_centre: bool,
-    /// The pause after the first failure of an upstream, doubled with each
+    /// The backoff after the first failure of an upstream, doubled with each
     /// further failure.
     pub backoff: Duration,
 }
--- a/crates/sequoiawing_policy/src/place/announcements.rs
+++ b/crates/sequoiawing_policy/src/place/announcements.rs
@@ -155,10 +155,10 @@
         let Some(leadership) = self.leadership else {
             return;
         };
-        let resend = self.settings.resend_after;
+        let resend_after = self.settings.resend_after;
         let is_due = |r: &Runner| {
             let is_behind = r.state.fenced && r.state.fence < leadership.term;
-            let may_resend = r.fenced.is_none_or(|at| now >= at + resend);
+            let may_resend = r.fenced.is_none_or(|at| now >= at + resend_after);
             is_behind && may_resend && r.expired_at.is_none()
         };
         let due = self.runners.iter().filter(|(_, r)| is_due(r));
@@ -176,9 +176,9 @@
 
     /// Resends unanswered orders.
     pub(crate) fn resend(&mut self, now: Time, out: &mut Vec<PlaceAction>) {
-        let resend = self.settings.resend_after;
+        let resend_after = self.settings.resend_after;
         for order in self.orders.iter_mut() {
-            if order.is_unanswered(now, resend) && order.order.kind != OrderKind::Fence {
+            if order.is_unanswered(now, resend_after) && order.order.kind != OrderKind::Fence {
                 order.last_sent = now;
                 order.attempts += 1;
                 out.push(PlaceAction::Send {
--- a/crates/sequoiawing_policy/src/place/pending_orders.rs
+++ b/crates/sequoiawing_policy/src/place/pending_orders.rs
@@ -32,7 +32,7 @@
     /// Whether the order is late, so that another replica may be loaded. It may
     /// still arrive at its upstream.
     pub(crate) is_late: bool,
-    /// Whether the load timed out and the upstream was told to unload.
+    /// Whether the load timed out and the upstream was ordered to unload.
     pub(crate) is_cancelled: bool,
     /// Whether an earlier load was announced as failed when this order was
     /// sent.
@@ -118,11 +118,11 @@
     }
 
     /// Returns whether the order should be sent again.
-    pub(crate) fn is_unanswered(&self, now: Time, resend: Duration) -> bool {
+    pub(crate) fn is_unanswered(&self, now: Time, resend_after: Duration) -> bool {
         self.phase == Phase::Sent
             && !self.is_cancelled
             && self.attempts < MAX_ATTEMPTS
-            && now >= self.last_sent + resend
+            && now >= self.last_sent + resend_after
     }
 }
 
--- a/crates/sequoiawing_policy/src/place/settings.rs
+++ b/crates/sequoiawing_policy/src/place/settings.rs
@@ -1,7 +1,7 @@
 use sequoiawing_types::Name;
 use std::time::Duration;
 
-/// The limits and time-outs of a placer.
+/// The limits and timeouts of a placer.
 #[derive(Clone, Debug)]
 pub struct PlaceSettings {
     /// The data centre that this placer manages. It only observes upstreams in
--- a/crates/sequoiawing_policy/src/serving/balancer.rs
+++ b/crates/sequoiawing_policy/src/serving/balancer.rs
@@ -195,8 +195,8 @@
         };
         let has_model = |model: &Name| {
             let is_held = state.has_model(model) || is_expected(model);
-            let place = (state.name.clone(), model.clone());
-            is_held && (self.evicted.is_empty() || !self.evicted.contains(&place))
+            let key = (state.name.clone(), model.clone());
+            is_held && (self.evicted.is_empty() || !self.evicted.contains(&key))
         };
         let has_adapter = |adapter: &Name| state.has_adapter(adapter) || is_expected(adapter);
         request.model.as_ref().is_none_or(has_model)
--- a/crates/sequoiawing_policy/src/serving/loader/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/mod.rs
@@ -19,7 +19,7 @@
 };
 use victims::Victims;
 
-/// The pause after an engine rejected an order.
+/// The backoff after an engine rejected an order.
 const REJECTED_BACKOFF: Duration = Duration::from_secs(2);
 
 /// How long the load of an adapter stays in the plans after its estimated end.
@@ -380,13 +380,13 @@
     }
 
     fn may_load_from_store(&self, now: Time, pool: &CatalogPool) -> bool {
-        let pause = pool
+        let interval = pool
             .engine
             .as_ref()
             .map(sequoiawing_catalog::Engine::load_interval);
-        let pause = pause.unwrap_or_default();
-        let is_pause_over = self.last_store_load.is_none_or(|at| now >= at + pause);
-        is_pause_over && self.store_loads() < self.settings.store_loads
+        let interval = interval.unwrap_or_default();
+        let is_interval_over = self.last_store_load.is_none_or(|at| now >= at + interval);
+        is_interval_over && self.store_loads() < self.settings.store_loads
     }
 
     /// Plans a load from a local checkpoint that waits for a free engine.
--- a/crates/sequoiawing_policy/src/serving/retry_window.rs
+++ b/crates/sequoiawing_policy/src/serving/retry_window.rs
@@ -43,8 +43,8 @@
     /// slack is divided evenly among `hosts`.
     pub fn try_retry(&mut self, now: Time, limits: &RetryLimits, hosts: u32) -> bool {
         self.bucket(now, limits);
-        let requests: u64 = self.buckets.iter().map(|p| p.requests).sum();
-        let retries: u64 = self.buckets.iter().map(|p| p.retries).sum();
+        let requests: u64 = self.buckets.iter().map(|b| b.requests).sum();
+        let retries: u64 = self.buckets.iter().map(|b| b.retries).sum();
         let share = limits.slack * 1_000 / u64::from(hosts.max(1));
         let allowed = (requests * limits.ratio + share) * USED_PERCENT / 100;
         let has_room = (retries + 1) * 1_000 <= allowed;
@@ -55,12 +55,12 @@
     }
 
     fn bucket(&mut self, now: Time, limits: &RetryLimits) -> &mut Bucket {
-        let is_old = |p: &Bucket| now.since(p.start) >= limits.window;
+        let is_old = |b: &Bucket| now.since(b.start) >= limits.window;
         while self.buckets.front().is_some_and(is_old) {
             self.buckets.pop_front();
         }
         let span = limits.window / BUCKETS;
-        let is_current = |p: &Bucket| now.since(p.start) < span;
+        let is_current = |b: &Bucket| now.since(b.start) < span;
         if !self.buckets.back().is_some_and(is_current) {
             self.buckets.push_back(Bucket {
                 start: now,
--- a/crates/sequoiawing_policy/src/serving/shared_bucket.rs
+++ b/crates/sequoiawing_policy/src/serving/shared_bucket.rs
@@ -25,7 +25,7 @@
 }
 
 impl PeerView {
-    /// Returns the share of a limit that this host and the peers it hears from
+    /// Returns the share of a limit that this host and the peers it receives updates from
     /// may use, as numerator and denominator.
     fn share(&self) -> (u64, u64) {
         let hosts = u64::from(self.hosts.max(1));
@@ -110,10 +110,10 @@
         self.refill(now, view);
         let others = total.saturating_sub(own);
         let previous = self.others.filter(|_| !is_new);
-        let fresh = previous.map_or(0, |previous| others.saturating_sub(previous));
+        let increase = previous.map_or(0, |previous| others.saturating_sub(previous));
         self.others = Some(others);
-        self.credit -= i128::from(fresh) * MICRO;
-        self.others_recent += fresh;
+        self.credit -= i128::from(increase) * MICRO;
+        self.others_recent += increase;
         self.measure_share(now);
         self.update_allowance(view);
     }
@@ -130,9 +130,9 @@
     pub fn admit(&mut self, now: Time, units: u64, view: PeerView) -> Result<(), Duration> {
         self.refill(now, view);
         let cost = i128::from(units) * MICRO;
-        let left = self.credit.min(self.allowance);
-        if left <= 0 {
-            let owed = u64::try_from(-left / MICRO).unwrap_or(u64::MAX);
+        let available = self.credit.min(self.allowance);
+        if available <= 0 {
+            let owed = u64::try_from(-available / MICRO).unwrap_or(u64::MAX);
             return Err(self.refill_time(owed.saturating_add(1), view));
         }
         self.credit -= cost;
