--- a/crates/sequoiawing_hub/src/loader.rs
+++ b/crates/sequoiawing_hub/src/loader.rs
@@ -144,9 +144,9 @@
                 pool: demand.pool,
                 model: demand.model,
                 adapter: demand.adapter,
-                asked: demand.asked,
+                requests: demand.asked,
                 missed: demand.missed,
-                crowded: demand.crowded,
+                saturated: demand.crowded,
             });
         }
         self.handle_event(LoaderEvent::Tick);
--- a/crates/sequoiawing_policy/src/serving/loader/mod.rs
+++ b/crates/sequoiawing_policy/src/serving/loader/mod.rs
@@ -66,11 +66,11 @@
         /// The adapter, as `model:adapter`.
         adapter: Option<Name>,
         /// The number of requests.
-        asked: u64,
+        requests: u64,
         /// How many of them found no upstream that has loaded it.
         missed: u64,
         /// How many of them found all such upstreams full.
-        crowded: u64,
+        saturated: u64,
     },
     /// An engine replied to an order.
     OrderAnswered {
@@ -183,14 +183,14 @@
                 pool,
                 model,
                 adapter,
-                asked,
+                requests,
                 missed,
-                crowded,
+                saturated,
             } => {
                 let sample = DemandSample {
-                    requests: asked,
+                    requests,
                     is_missed: missed > 0,
-                    is_saturated: crowded > 0,
+                    is_saturated: saturated > 0,
                 };
                 self.demands.record(now, (pool, model, adapter), sample);
             }
--- a/crates/sequoiawing_policy/tests/loader/world.rs
+++ b/crates/sequoiawing_policy/tests/loader/world.rs
@@ -219,15 +219,15 @@
         found.expect("some model is on disk only")
     }
 
-    pub(crate) fn request(&mut self, model: &Name, asked: u64) {
-        let missed = if self.is_loaded(model) { 0 } else { asked };
+    pub(crate) fn request(&mut self, model: &Name, requests: u64) {
+        let missed = if self.is_loaded(model) { 0 } else { requests };
         self.handle(LoaderEvent::Demand {
             pool: pool(),
             model: model.clone(),
             adapter: None,
-            asked,
+            requests,
             missed,
-            crowded: 0,
+            saturated: 0,
         });
     }
 
@@ -236,9 +236,9 @@
             pool: pool(),
             model: model.clone(),
             adapter: None,
-            asked: 1,
+            requests: 1,
             missed: 0,
-            crowded: 1,
+            saturated: 1,
         });
     }
 
@@ -267,8 +267,8 @@
             let skewed = self.rng.random::<f64>() * self.rng.random::<f64>();
             let pick = (skewed * 16.0).floor();
             let found = (0..MODELS).find(|i| f64::from(u32::try_from(*i).unwrap_or(0)) >= pick);
-            let asked = model(found.unwrap_or(0));
-            self.request(&asked, 1);
+            let requested = model(found.unwrap_or(0));
+            self.request(&requested, 1);
         }
     }
 
