--- a/crates/sequoiawing_policy/src/place/shares.rs
+++ b/crates/sequoiawing_policy/src/place/shares.rs
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-/// How long a data centre releases a share that it was asked to release.
+/// How long a data centre stays without a share that it was asked to release.
 const RECALL_TIME: Duration = Duration::from_secs(10);
 
 /// The data centre's shares, and the allotments to request once the cell has
