--- a/tests/requests/keys.rs
+++ b/tests/requests/keys.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     cases,
-    fleet::{Fleet, Setup, wait_until},
+    fleet::{Fleet, Response, Setup, wait_until},
 };
 use http_body_util::BodyExt;
 use sequoiawing::{
@@ -10,11 +10,16 @@
     runtime::{Clock, sleep, spawn, timeout},
     standin::{Engine, EngineSettings, Fault, Service},
 };
+use serde_json::Value;
 use std::time::Duration;
 
 /// The time within which a withdrawn key must stop working.
 const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// The message of the refusal after the grace period. Other refusals of a
+/// disconnected router have the same status and code.
+const UNCONFIRMED_MESSAGE: &str = "the router is cut off and cannot confirm the key any longer";
+
 async fn start(settings: RouterSettings) -> Fleet {
     Fleet::start(Setup {
         engines: 1,
@@ -42,6 +47,13 @@
     withdrawn.expect("all hosts confirm");
 }
 
+/// Returns the message of a refusal.
+fn refusal_message(response: &Response) -> String {
+    let body: Value = serde_json::from_str(response.text()).expect("refusals are JSON");
+    let message = body["error"]["message"].as_str();
+    message.unwrap_or_default().to_owned()
+}
+
 cases! {
     a_withdrawn_key_ends_open_streams_and_stops_new_work_on_all_hosts {
         let fleet = start(RouterSettings::default()).await;
@@ -143,10 +155,14 @@
         let mut fleet = start(RouterSettings { key_grace: 1, ..RouterSettings::default() }).await;
         assert_eq!(fleet.call("/look").send().await.status, 200);
         fleet.controller.take().expect("the controller runs").stop().await;
-        let refused = || async { fleet.call("/look").send().await.status == 503 };
-        wait_until("the grace period has passed", refused).await;
+        let unconfirmed = || async {
+            let response = fleet.call("/look").send().await;
+            response.status == 503 && refusal_message(&response) == UNCONFIRMED_MESSAGE
+        };
+        wait_until("the grace period has passed", unconfirmed).await;
         let refused = fleet.call("/look").send().await;
         assert_eq!((refused.code().as_str(), refused.ran().as_str()), ("unavailable", "no"));
+        assert_eq!(refusal_message(&refused), UNCONFIRMED_MESSAGE);
         let anonymous = fleet.call("/open").without("authorization").send().await;
         assert_eq!(anonymous.status, 200);
     }
