--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -233,15 +233,22 @@
         text
     }
 
-    /// Waits until a router responds and accepts the key.
+    /// Waits until a router responds, has loaded its tables and accepts the key.
+    ///
+    /// A router looks up the route, then checks the key, then the model, so only
+    /// the refusal of the unknown model shows that the key was accepted. A router
+    /// without tables also responds with 404, because no route matches.
     pub(crate) fn wait_for_key(&self, router: usize, key: &str) {
+        const REFUSAL: &str = "the route has no model 'no-such-model'";
         let body = json!({ "model": "no-such-model", "prompt": "p", "max_tokens": 1 }).to_string();
         wait("the key", || {
             let to = self.routers[router].callers;
             let response = try_post(to, "/v1/completions", key, &[], &body);
-            let is_known = response.as_ref().is_some_and(|a| a.status == 404);
-            let seen = || json!(response.map(|a| a.body));
-            is_known.then_some(()).ok_or_else(seen)
+            let is_accepted = response
+                .as_ref()
+                .is_some_and(|r| r.status == 404 && r.body.contains(REFUSAL));
+            let seen = || json!(response.map(|r| r.body));
+            is_accepted.then_some(()).ok_or_else(seen)
         });
     }
 
