--- a/crates/sequoiawing_budget/examples/fast_path.rs
+++ b/crates/sequoiawing_budget/examples/fast_path.rs
@@ -64,11 +64,11 @@
             admission.handle_reply(now, &reply(&request));
         }
     }
-    let span = start.elapsed();
+    let elapsed = start.elapsed();
     let change = region.change();
     println!(
         "{} ns and {:.3} allocations for each request, with a report for every {REPORT}",
-        span.as_nanos() / u128::from(REQUESTS),
+        elapsed.as_nanos() / u128::from(REQUESTS),
         f64::from(u32::try_from(change.allocations).unwrap_or(u32::MAX)) / f64::from(REQUESTS)
     );
 }
--- a/crates/sequoiawing_catalog/src/route.rs
+++ b/crates/sequoiawing_catalog/src/route.rs
@@ -2,7 +2,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How often a request of a route may run, and the form of its answer.
+/// How often a request of a route may run, and the form of its response.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryPolicy {
@@ -11,14 +11,14 @@
     /// At most once.
     #[default]
     Once,
-    /// At most once, and the answer is a stream of events.
+    /// At most once, and the response is a stream of events.
     Stream,
-    /// The answer is a stream of events that another attempt may continue.
+    /// The response is a stream of events that another attempt may continue.
     Resumable,
 }
 
 impl RetryPolicy {
-    /// Reports whether the answer is a stream of events.
+    /// Reports whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
@@ -51,10 +51,10 @@
     pub prefix: Name,
     /// Whether requests may be retried.
     pub repeat: RetryPolicy,
-    /// The maximum time from the arrival of a request to the end of its answer, in
+    /// The maximum time from the arrival of a request to the end of its response, in
     /// milliseconds.
     pub timeout: u64,
-    /// The target latency of answers, in milliseconds.
+    /// The target latency of responses, in milliseconds.
     pub aim: u64,
     /// The target for the longest gap between events, in milliseconds.
     pub gap: u64,
@@ -77,7 +77,7 @@
         Duration::from_millis(self.timeout)
     }
 
-    /// Returns the target latency of answers.
+    /// Returns the target latency of responses.
     pub fn target_latency(&self) -> Duration {
         Duration::from_millis(self.aim)
     }
--- a/crates/sequoiawing_controller/examples/log_figures.rs
+++ b/crates/sequoiawing_controller/examples/log_figures.rs
@@ -159,8 +159,8 @@
     let call = stub.call(CALL_TIMEOUT, |c, context| async move {
         c.propose(context, command).await
     });
-    let answer: std::result::Result<Outcome, ControlError> = Box::pin(call).await.ok()?;
-    match answer {
+    let outcome: std::result::Result<Outcome, ControlError> = Box::pin(call).await.ok()?;
+    match outcome {
         Ok(Outcome::Accepted(revision)) => Some(revision),
         _ => None,
     }
--- a/crates/sequoiawing_http/src/idle_pool.rs
+++ b/crates/sequoiawing_http/src/idle_pool.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the time-out of the `Keep-Alive` header, if there is one.
+/// Returns the timeout of the `Keep-Alive` header, if there is one.
 pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = value.split(',');
--- a/crates/sequoiawing_http/src/listener.rs
+++ b/crates/sequoiawing_http/src/listener.rs
@@ -40,7 +40,7 @@
 /// does not exhaust memory.
 const MAX_REJECTIONS: usize = 1_000;
 
-/// The connection limits and time-outs of a listener.
+/// The connection limits and timeouts of a listener.
 #[derive(Clone, Debug)]
 pub struct HttpSettings {
     /// The maximum number of open connections.
--- a/crates/sequoiawing_link/src/hub.rs
+++ b/crates/sequoiawing_link/src/hub.rs
@@ -153,7 +153,7 @@
     pub facts: HubInfo,
     /// The configuration, if it is newer than the gateway's.
     pub catalog: Option<Arc<Catalog>>,
-    /// What is new in the roster.
+    /// The changes of the roster since the report's cursor.
     pub roster: RosterUpdate,
     /// The upstreams that have been silent for long.
     pub silent: Vec<Name>,
@@ -191,11 +191,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct MirrorReply {
-    /// What is new in the roster.
+    /// The changes of the roster since the request's cursor.
     pub roster: RosterUpdate,
-    /// What gateways told the hub itself.
+    /// The usage that gateways reported to the hub directly.
     pub uses: Vec<GatewayUsage>,
-    /// How far that goes.
+    /// The stamp of the last usage in `uses`, for the next request.
     pub stamp: u64,
     /// The hub's orders, if its controller is the leader of the log.
     pub ordered: Option<OrderedLoads>,
--- a/crates/sequoiawing_link/src/peer.rs
+++ b/crates/sequoiawing_link/src/peer.rs
@@ -13,10 +13,9 @@
 pub struct UpstreamBatch {
     /// The sender.
     pub source: Source,
-    /// The upstreams that announced themselves to the sender, of which
-    /// something changed.
+    /// The changed states of upstreams that announced themselves to the sender.
     pub states: Vec<RelayedState>,
-    /// The loads of the others.
+    /// The loads of the other upstreams that announced themselves to the sender.
     pub loads: Vec<LoadDelta>,
     /// The summaries of other data centres for the receiver's data centre.
     pub summaries: Vec<Summary>,
@@ -75,19 +74,19 @@
     /// Waits for at most `wait` milliseconds until the borrower has to return
     /// credit, and returns the affected budgets.
     async fn recalled(borrower: Name, wait: u64) -> Vec<Name>;
-    /// Takes in what another router learnt of upstreams, and returns what must
-    /// be sent whole.
+    /// Applies the upstream changes of another router, and returns what must be
+    /// sent in full.
     async fn exchange(batch: UpstreamBatch) -> ExchangeReply;
-    /// Asks the cell leader for a model.
+    /// Sends demands for models to the cell leader, and returns their status.
     async fn demand(demands: Vec<Demand>) -> Vec<DemandStatus>;
-    /// Answers another member of the data centre's cell.
+    /// Handles a request of another member of the data centre's cell.
     async fn cell(request: CellRequest) -> Option<CellReply>;
     /// Returns the tables if they are newer than those of the requesting host.
     /// Routers relay the tables to each other to reduce the load on the
     /// controllers.
     async fn follow(question: FollowRequest) -> FollowReply;
-    /// Revokes keys immediately, without waiting for the log, and returns the
-    /// total number of revoked keys that the router knows.
+    /// Withdraws keys immediately, without waiting for the log, and returns the
+    /// total number of withdrawn keys that the router knows.
     async fn withdraw(keys: Vec<KeyId>) -> usize;
     /// Returns the latest announcement of each upstream that is alive.
     async fn upstreams() -> Vec<UpstreamState>;
--- a/crates/sequoiawing_link/tests/codec.rs
+++ b/crates/sequoiawing_link/tests/codec.rs
@@ -63,7 +63,7 @@
     }
 }
 
-fn published() -> FollowReply {
+fn reply_with_update() -> FollowReply {
     let mut tables = Tables::default();
     tables.apply(edit());
     tables.apply(Command::Edit {
@@ -96,7 +96,7 @@
 cases! {
     upstream_batch: batch();
     edit_command: edit();
-    follow_reply: published();
+    follow_reply: reply_with_update();
     follow_request: FollowRequest { host: Name::from("entry-1"), ..FollowRequest::default() };
     rejected_edit: Ok::<_, ControlError>(invalid());
     control_error: Err::<Outcome, _>(ControlError::NotLeader { leader: Some(([127, 0, 0, 1], 1).into()) });
--- a/crates/sequoiawing_standin/src/engine.rs
+++ b/crates/sequoiawing_standin/src/engine.rs
@@ -52,7 +52,7 @@
     active: BTreeSet<Name>,
     /// The number of running requests, by model and adapter.
     in_use: BTreeMap<Name, u32>,
-    /// The fencing numbers and ids of the orders so far, for deduplication.
+    /// The fencing tokens and IDs of the orders so far, for deduplication.
     handled_orders: BTreeSet<(u64, u64)>,
     started_loads: u64,
 }
--- a/crates/sequoiawing_standin/src/load_report.rs
+++ b/crates/sequoiawing_standin/src/load_report.rs
@@ -104,30 +104,30 @@
 
 impl LoadReport {
     pub(crate) fn record(&mut self, customer: &Name, outcome: &Outcome) {
-        let report = self.customers.entry(customer.clone()).or_default();
-        *report.statuses.entry(outcome.status).or_default() += 1;
-        report.wrong += u64::from(outcome.wrong);
+        let outcomes = self.customers.entry(customer.clone()).or_default();
+        *outcomes.statuses.entry(outcome.status).or_default() += 1;
+        outcomes.wrong += u64::from(outcome.wrong);
         if outcome.status != 200 || outcome.wrong {
             return;
         }
-        report.took.record(outcome.took);
+        outcomes.took.record(outcome.took);
         if let Some(first) = outcome.first {
-            report.first.record(first);
+            outcomes.first.record(first);
         }
         for gap in &outcome.gaps {
-            report.gaps.record(*gap);
+            outcomes.gaps.record(*gap);
         }
     }
 
     /// Returns the outcomes of the requests, by customer.
     pub fn summaries(&self) -> Vec<CustomerSummary> {
-        let summary = |(customer, report): (&Name, &CustomerOutcomes)| CustomerSummary {
+        let summary = |(customer, outcomes): (&Name, &CustomerOutcomes)| CustomerSummary {
             customer: customer.clone(),
-            statuses: report.statuses.clone(),
-            wrong: report.wrong,
-            first: report.first.summary(),
-            gaps: report.gaps.summary(),
-            took: report.took.summary(),
+            statuses: outcomes.statuses.clone(),
+            wrong: outcomes.wrong,
+            first: outcomes.first.summary(),
+            gaps: outcomes.gaps.summary(),
+            took: outcomes.took.summary(),
         };
         self.customers.iter().map(summary).collect()
     }
@@ -135,8 +135,8 @@
     /// Returns the number of requests of all customers, by status.
     pub fn statuses(&self) -> BTreeMap<u16, u64> {
         let mut all = BTreeMap::new();
-        for report in self.customers.values() {
-            for (status, count) in &report.statuses {
+        for outcomes in self.customers.values() {
+            for (status, count) in &outcomes.statuses {
                 *all.entry(*status).or_default() += count;
             }
         }
--- a/crates/sequoiawing_standin/src/settings.rs
+++ b/crates/sequoiawing_standin/src/settings.rs
@@ -37,7 +37,7 @@
     pub gap: u64,
     /// The padding of each event of a stream, in bytes.
     pub padding: usize,
-    /// Whether it rejects orders with an outdated fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub fenced: bool,
     /// The time between announcements, in milliseconds.
     pub interval: u64,
--- a/crates/sequoiawing_tables/src/change.rs
+++ b/crates/sequoiawing_tables/src/change.rs
@@ -24,7 +24,7 @@
     PutStore(Store),
     /// Grants a key.
     GrantKey(Key),
-    /// Revokes a key permanently.
+    /// Withdraws a key permanently.
     WithdrawKey(KeyId),
     /// Stops sending new requests to an upstream, as if it had announced its
     /// shutdown.
--- a/crates/sequoiawing_tables/src/command.rs
+++ b/crates/sequoiawing_tables/src/command.rs
@@ -14,7 +14,7 @@
         /// Identifies the edit. Resends of the same edit carry the same value.
         request: RequestId,
         /// The revision that the edit is based on, or `None` for changes that
-        /// cannot conflict, such as revoking a key.
+        /// cannot conflict, such as withdrawing a key.
         base: Option<Revision>,
         /// The changes, applied atomically.
         changes: Vec<Change>,
--- a/crates/sequoiawing_tables/src/tables.rs
+++ b/crates/sequoiawing_tables/src/tables.rs
@@ -50,7 +50,7 @@
     pub store: Store,
     /// The granted keys by identifier.
     pub keys: Shared<BTreeMap<KeyId, Key>>,
-    /// The revoked keys. Keys are never removed from this set.
+    /// The withdrawn keys. Keys are never removed from this set.
     pub withdrawn: Shared<BTreeSet<KeyId>>,
     /// The upstreams that operators have drained, which receive no new requests.
     pub drained: BTreeSet<Name>,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns whether the key has been revoked.
+    /// Returns whether the key has been withdrawn.
     pub fn is_withdrawn(&self, key: &KeyId) -> bool {
         self.withdrawn.contains(key)
     }
