--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_leaving_service_gets_no_new_work_from_any_router() {
+fn a_leaving_service_gets_no_new_calls_from_any_router() {
     let mut deployment = Deployment::start_with("leaving", &layout());
     let key = deployment.grant_key("daily");
     let done = AtomicBool::new(false);
@@ -55,7 +55,7 @@
                 }
             });
         }
-        wait("work from all routers", || {
+        wait("calls from all routers", || {
             let runs = runs(&deployment, LEAVING, 0);
             let from: BTreeSet<String> = runs.into_iter().map(|(_, what)| what).collect();
             (from.len() == callers.len())
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_drained_upstream_gets_no_new_work_until_it_is_undone() {
+fn a_drained_upstream_gets_no_new_requests_until_the_drain_is_undone() {
     let deployment = Deployment::start("drain-and-undo");
     let key = deployment.grant_key("daily");
     let call = || deployment.post(0, "/licences/grant", &key, "{}");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn metrics_tell_cold_starts_service_and_refusals_by_customer() {
+fn metrics_report_cold_starts_tokens_and_refusals_by_customer() {
     let deployment = Deployment::start("metrics");
     let key = deployment.grant_key("daily");
     for _ in 0..2 {
@@ -142,7 +142,7 @@
 const DOUBLE_RATE: &str = "sed -i 's/\"rate\": 1000/\"rate\": 2000/' \"$1\"";
 
 #[test]
-fn an_edit_is_not_stopped_by_a_key_granted_meanwhile() {
+fn an_edit_does_not_conflict_with_a_key_granted_meanwhile() {
     let deployment = Deployment::start("edit-and-grant");
     let script = format!("$CTL keys grant daily && {DOUBLE_RATE}");
     let (code, errors) = deployment.ctl_edit(&script);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn an_edit_is_stopped_by_another_operators_and_kept() {
+fn an_edit_that_conflicts_with_another_is_rejected_and_kept() {
     let deployment = Deployment::start("edit-and-edit");
     let script = format!(
         "$CTL get > other.json && sed -i 's/\"burst\": 10000/\"burst\": 9000/' other.json \
--- a/tests/replicas.rs
+++ b/tests/replicas.rs
@@ -36,8 +36,8 @@
 fn allotted_models(deployment: &Deployment, router: usize) -> BTreeSet<String> {
     let dump = deployment.dump(router);
     let shares = dump["shares"].as_array().cloned().unwrap_or_default();
-    let held = shares.iter().filter(|s| s["count"].as_u64() > Some(0));
-    let names = held.filter_map(|s| s["model"].as_str());
+    let allotted = shares.iter().filter(|s| s["count"].as_u64() > Some(0));
+    let names = allotted.filter_map(|s| s["model"].as_str());
     names
         .filter(|n| MODELS.contains(n))
         .map(str::to_owned)
@@ -83,7 +83,7 @@
             .collect();
         let served = requests
             .into_iter()
-            .map(|a| a.join().expect("the request does not panic"));
+            .map(|r| r.join().expect("the request does not panic"));
         served.flatten().collect()
     })
 }
@@ -114,35 +114,35 @@
 
 /// Waits until every model is allotted to a data centre and returns the models of
 /// each, given the indices of their leading routers.
-fn held_models(deployment: &Deployment, leaders: [usize; 2]) -> [BTreeSet<String>; 2] {
-    let held = wait("every model to be held by one data centre", || {
-        let held = leaders.map(|router| allotted_models(deployment, router));
-        let all = held.iter().map(BTreeSet::len).sum::<usize>() == MODELS.len();
-        all.then(|| held.clone()).ok_or(json!(held))
+fn wait_for_allotments(deployment: &Deployment, leaders: [usize; 2]) -> [BTreeSet<String>; 2] {
+    let allotted = wait("every model to be allotted to one data centre", || {
+        let allotted = leaders.map(|router| allotted_models(deployment, router));
+        let all = allotted.iter().map(BTreeSet::len).sum::<usize>() == MODELS.len();
+        all.then(|| allotted.clone()).ok_or(json!(allotted))
     });
-    println!("held: {held:?}");
-    let some = held.iter().all(|h| !h.is_empty());
-    assert!(some, "a data centre holds no model: {held:?}");
-    held
+    println!("allotted: {allotted:?}");
+    let some = allotted.iter().all(|h| !h.is_empty());
+    assert!(some, "a data centre has no allotted model: {allotted:?}");
+    allotted
 }
 
-/// Waits until a router's data centre has served the models that it holds and
+/// Waits until a router's data centre has served the models allotted to it and
 /// checks that its runner has loaded no others.
-fn assert_loads_held(
+fn assert_loads_allotted(
     deployment: &Deployment,
     router: usize,
     centre: usize,
     key: &str,
-    held: &BTreeSet<String>,
+    allotted: &BTreeSet<String>,
 ) {
-    wait("the held models to be served", || {
+    wait("the allotted models to be served", || {
         let served = request_models(deployment, router, key);
-        let all = served.is_superset(held);
+        let all = served.is_superset(allotted);
         all.then_some(()).ok_or(json!([centre, served]))
     });
     let loaded = loaded_models(deployment, router, centre);
-    let is_subset_of_held = loaded.is_subset(held);
-    assert!(is_subset_of_held, "data centre {centre}: {loaded:?}");
+    let is_subset_of_allotted = loaded.is_subset(allotted);
+    assert!(is_subset_of_allotted, "data centre {centre}: {loaded:?}");
 }
 
 /// Waits until every model is served by both routers and checks that none is
@@ -163,16 +163,16 @@
 }
 
 #[test]
-fn a_data_centre_that_is_cut_off_loads_what_it_holds_and_no_more() {
+fn a_disconnected_data_centre_loads_only_the_models_allotted_to_it() {
     let layout = Layout::from_counts(&[(1, 1, 0), (1, 1, 0)]);
     let (mut deployment, key) = start("replicas", &layout);
-    let held = held_models(&deployment, [0, 1]);
+    let allotted = wait_for_allotments(&deployment, [0, 1]);
     (0..2).for_each(|router| wait_for_store_share(&deployment, router));
     deployment.kill_controllers();
     for (cut, other) in [(0, 1), (1, 0)] {
         let other = format!("entry-{other}");
         deployment.signal(&other, Signal::STOP);
-        assert_loads_held(&deployment, cut, cut, &key, &held[cut]);
+        assert_loads_allotted(&deployment, cut, cut, &key, &allotted[cut]);
         deployment.signal(&other, Signal::CONT);
     }
     deployment.start_process("control-1");
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_new_leader_of_a_data_centre_that_is_cut_off_loads_what_it_holds() {
+fn a_new_leader_of_a_disconnected_data_centre_loads_the_models_allotted_to_it() {
     let layout = Layout {
         cuts: true,
         ..Layout::from_counts(&[(1, 1, 0), (3, 1, 0)])
@@ -188,13 +188,13 @@
     let (mut deployment, key) = start("cut-replicas", &layout);
     let leader = deployment.leader(1);
     let leader_index = deployment.router_index(&leader);
-    let held = held_models(&deployment, [0, leader_index]);
+    let allotted = wait_for_allotments(&deployment, [0, leader_index]);
     (0..deployment.routers()).for_each(|router| wait_for_store_share(&deployment, router));
     deployment.isolate("centre-1");
     deployment.kill_router(leader_index);
     let router = if leader_index == 1 { 2 } else { 1 };
-    assert_loads_held(&deployment, router, 1, &key, &held[1]);
-    assert_loads_held(&deployment, 0, 0, &key, &held[0]);
+    assert_loads_allotted(&deployment, router, 1, &key, &allotted[1]);
+    assert_loads_allotted(&deployment, 0, 0, &key, &allotted[0]);
     deployment.heal();
     assert_serves_all(&deployment, [0, router], &key);
 }
--- a/tests/requests/callers.rs
+++ b/tests/requests/callers.rs
@@ -125,7 +125,7 @@
         assert_eq!(elsewhere.send().await.status, 404);
     }
 
-    a_body_above_the_bound_is_refused {
+    a_body_above_the_limit_is_refused {
         let fleet = start_with(RouterSettings { body: 1_000, ..RouterSettings::default() }).await;
         let response = fleet.call("/grant").with_body("x".repeat(1_001)).send().await;
         assert_eq!((response.status.as_u16(), response.code().as_str()), (413, "body_too_large"));
@@ -161,7 +161,7 @@
         assert_eq!(fleet.runs(), 0);
     }
 
-    headers_above_the_bound_are_refused {
+    headers_above_the_limit_are_refused {
         let fleet = start().await;
         let head = format!("GET /look HTTP/1.1\r\nHost: x\r\nX: {}\r\n\r\n", "x".repeat(40_000));
         let response = send_raw(fleet.routers[0].callers(), head.as_bytes());
@@ -171,7 +171,7 @@
         assert_eq!(fleet.runs(), 0);
     }
 
-    bytes_that_are_no_request_are_refused {
+    bytes_that_are_not_a_request_are_refused {
         let fleet = start().await;
         let to = fleet.routers[0].callers();
         let good = format!(
@@ -285,7 +285,7 @@
         assert!(cold.headers.contains_key("retry-after"));
     }
 
-    a_caller_that_leaves_cancels_its_work_and_frees_the_slot {
+    a_caller_that_disconnects_cancels_its_request_and_frees_the_slot {
         let fleet = start().await;
         fleet.load_model().await;
         let call = spawn(fleet.completion("/v1/completions", 900_000).begin());
--- a/tests/requests/idempotency.rs
+++ b/tests/requests/idempotency.rs
@@ -48,7 +48,7 @@
 
 impl Filter for HangAt {
     fn name(&self) -> &'static str {
-        "stop-at"
+        "hang-at"
     }
 
     fn handle<'a>(&'a self, exchange: &'a mut Exchange, next: Next<'a>) -> Answer<'a> {
@@ -72,7 +72,7 @@
 }
 
 async fn start(hang: Option<&HangAt>) -> Fleet {
-    let hang = hang.map(|s| s as &dyn Plugin);
+    let hang = hang.map(|h| h as &dyn Plugin);
     Fleet::start(Setup {
         services: 1,
         routers: vec![hang, None],
@@ -177,7 +177,7 @@
         assert_eq!(fleet.runs(), 1);
     }
 
-    a_call_goes_on_when_its_caller_leaves {
+    a_call_continues_when_its_caller_disconnects {
         let fleet = Fleet::start(Setup {
             services: 1,
             routers: vec![None, None],
@@ -212,7 +212,7 @@
         assert_eq!(fleet.runs(), 0);
     }
 
-    an_unkeyed_call_is_never_sent_twice {
+    a_call_without_an_idempotency_key_is_never_sent_twice {
         let fleet = Fleet::start(Setup { services: 2, ..Setup::default() }).await;
         for service in &fleet.services {
             service.set_fault(Fault::Disconnect);
--- a/tests/requests/keys.rs
+++ b/tests/requests/keys.rs
@@ -43,7 +43,7 @@
 }
 
 cases! {
-    a_withdrawn_key_ends_open_streams_and_stops_new_work_on_all_hosts {
+    a_withdrawn_key_ends_open_streams_and_is_refused_on_all_hosts {
         let fleet = start(RouterSettings::default()).await;
         fleet.load_model().await;
         let mut streams = Vec::new();
@@ -76,7 +76,7 @@
         assert_eq!((ended.code().as_str(), ended.ran().as_str()), ("unauthorized", "unknown"));
     }
 
-    a_key_withdrawn_at_one_cut_off_router_reaches_the_log_and_all_others {
+    a_key_withdrawn_at_one_router_reaches_the_log_and_all_others {
         let fleet = start(RouterSettings::default()).await;
         let secret = sequoiawing::link::Secret::from("secret-of-the-tests");
         let stub: sequoiawing::link::Stub<sequoiawing::link::PeerClient> =
@@ -139,7 +139,7 @@
         assert_eq!(fleet.call("/open").send().await.text(), "done: grant 7");
     }
 
-    a_router_that_is_cut_off_honours_keys_for_the_grace_period_only {
+    a_disconnected_router_accepts_keys_for_the_grace_period_only {
         let mut fleet = start(RouterSettings { key_grace: 1, ..RouterSettings::default() }).await;
         assert_eq!(fleet.call("/look").send().await.status, 200);
         fleet.controller.take().expect("the controller runs").stop().await;
@@ -151,7 +151,7 @@
         assert_eq!(anonymous.status, 200);
     }
 
-    a_router_that_is_cut_off_honours_keys_without_limit_if_the_grace_is_zero {
+    a_disconnected_router_accepts_keys_without_limit_if_the_grace_period_is_zero {
         let mut fleet = start(RouterSettings { key_grace: 0, ..RouterSettings::default() }).await;
         fleet.controller.take().expect("the controller runs").stop().await;
         sleep(Duration::from_millis(1_500)).await;
--- a/tests/requests/streams.rs
+++ b/tests/requests/streams.rs
@@ -67,12 +67,12 @@
 }
 
 cases! {
-    a_stream_that_breaks_off_is_resumed { assert_resumed(Fault::Abort).await; }
-    a_stream_that_is_cut_short_is_resumed { assert_resumed(Fault::Truncate).await; }
-    a_stream_that_falls_silent_is_resumed { assert_resumed(Fault::Stall).await; }
-    a_stream_that_breaks_off_ends_with_an_error { assert_incomplete(Fault::Abort).await; }
-    a_stream_that_is_cut_short_ends_with_an_error { assert_incomplete(Fault::Truncate).await; }
-    a_stream_that_falls_silent_ends_with_an_error { assert_incomplete(Fault::Stall).await; }
+    an_aborted_stream_is_resumed { assert_resumed(Fault::Abort).await; }
+    a_truncated_stream_is_resumed { assert_resumed(Fault::Truncate).await; }
+    a_stalled_stream_is_resumed { assert_resumed(Fault::Stall).await; }
+    an_aborted_stream_ends_with_an_error { assert_incomplete(Fault::Abort).await; }
+    a_truncated_stream_ends_with_an_error { assert_incomplete(Fault::Truncate).await; }
+    a_stalled_stream_ends_with_an_error { assert_incomplete(Fault::Stall).await; }
 
     a_stream_that_cannot_be_resumed_ends_with_an_error {
         let fleet = start(Fault::Abort).await;
--- a/tests/requests/upstreams.rs
+++ b/tests/requests/upstreams.rs
@@ -87,19 +87,19 @@
     assert_eq!(fleet.runs(), responses.len());
 }
 
-/// Asserts that a response that breaks off part-way ends with an error.
+/// Asserts that a response that is incomplete ends with an error.
 async fn assert_incomplete(fault: Fault) {
     let fleet = start(fault).await;
     let responses = send_until_failed(&fleet, "/grant").await;
-    let mut broken = 0;
+    let mut incomplete = 0;
     for (i, response) in responses.iter().enumerate() {
         assert_eq!(response.status, 200);
         match &response.body {
             Ok(text) => assert_eq!(*text, format!("done: call {i}")),
-            Err(_) => broken += 1,
+            Err(_) => incomplete += 1,
         }
     }
-    assert!(broken > 0);
+    assert!(incomplete > 0);
     assert_eq!(fleet.runs(), responses.len());
 }
 
@@ -112,11 +112,11 @@
 
 fault_cases! { assert_retried:
     a_call_to_a_frozen_upstream_is_retried: Freeze;
-    a_response_that_falls_silent_is_retried: Stall;
-    a_response_that_breaks_off_is_retried: Abort;
-    a_crossed_response_is_retried: WrongAttempt;
+    a_stalled_response_is_retried: Stall;
+    an_aborted_response_is_retried: Abort;
+    a_response_to_another_attempt_is_retried: WrongAttempt;
     an_upstreams_error_is_retried: Fail;
-    a_refused_connection_is_retried: Refuse;
+    a_call_refused_by_an_upstream_is_retried: Refuse;
     an_invalid_response_is_retried: InvalidHttp;
     a_response_without_a_length_is_retried: Unframed;
     a_closed_connection_is_retried: Disconnect;
@@ -124,19 +124,19 @@
 
 fault_cases! { assert_outcome_unknown:
     a_frozen_upstream_leaves_the_outcome_unknown: Freeze;
-    a_crossed_response_leaves_the_outcome_unknown: WrongAttempt;
+    a_response_to_another_attempt_leaves_the_outcome_unknown: WrongAttempt;
     an_invalid_response_leaves_the_outcome_unknown: InvalidHttp;
     a_response_without_a_length_leaves_the_outcome_unknown: Unframed;
     a_closed_connection_leaves_the_outcome_unknown: Disconnect;
 }
 
 fault_cases! { assert_incomplete:
-    a_non_repeatable_response_that_breaks_off_ends_with_an_error: Abort;
-    a_non_repeatable_response_that_falls_silent_ends_with_an_error: Stall;
+    an_aborted_non_repeatable_response_ends_with_an_error: Abort;
+    a_stalled_non_repeatable_response_ends_with_an_error: Stall;
 }
 
 cases! {
-    a_refused_connection_fails_no_call {
+    a_refusal_by_one_upstream_fails_no_call {
         let fleet = start(Fault::Refuse).await;
         assert_matching_responses(&send_until_failed(&fleet, "/grant").await);
     }
@@ -149,7 +149,7 @@
         assert_eq!(response.ran(), "yes");
     }
 
-    a_stray_response_is_discarded {
+    an_extra_response_is_discarded {
         let fleet = start(Fault::ExtraResponse).await;
         fleet.services[1].set_fault(Fault::ExtraResponse);
         for i in 0..20 {
@@ -204,14 +204,14 @@
                 assert!(response.headers.contains_key("retry-after"));
             }
         }
-        let asked: u64 = fleet.services.iter().map(Service::received_calls).sum();
+        let received: u64 = fleet.services.iter().map(Service::received_calls).sum();
         // The first attempts, the initial retry budget, a fifth of the first
         // attempts, and one retry per second.
         let allowed = 400 + 100 + 80 + clock.elapsed().as_secs() + 1;
-        assert!(asked <= allowed, "{asked} attempts, {allowed} allowed");
+        assert!(received <= allowed, "{received} attempts, {allowed} allowed");
     }
 
-    a_leaving_upstream_gets_no_new_work {
+    a_leaving_upstream_gets_no_new_requests {
         let fleet = start(Fault::None).await;
         fleet.services[0].leave();
         sleep(LEAVE_LIMIT).await;
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -363,7 +363,7 @@
         let mut text = String::new();
         let is_sent = stream.write_all(request.as_bytes()).is_ok();
         if !is_sent || stream.read_to_string(&mut text).is_err() {
-            return (0, "broken off".to_owned());
+            return (0, "incomplete response".to_owned());
         }
         let status = text.split(' ').nth(1).and_then(|s| s.parse().ok());
         let body = text.split("\r\n\r\n").nth(1).unwrap_or_default();
