--- a/crates/sequoiawing_catalog/src/customer.rs
+++ b/crates/sequoiawing_catalog/src/customer.rs
@@ -34,7 +34,7 @@
 }
 
 impl CatalogCustomer {
-    /// Reports whether the customer's rate is limited.
+    /// Returns whether the customer's rate is limited.
     pub fn is_limited(&self) -> bool {
         self.rate > 0
     }
--- a/crates/sequoiawing_catalog/src/index.rs
+++ b/crates/sequoiawing_catalog/src/index.rs
@@ -74,7 +74,7 @@
         self.customers.get(key)
     }
 
-    /// Reports whether requests need a key on routes that are not open.
+    /// Returns whether requests need a key on routes that are not open.
     pub fn requires_keys(&self) -> bool {
         !self.catalog.customers.is_empty()
     }
--- a/crates/sequoiawing_catalog/src/route.rs
+++ b/crates/sequoiawing_catalog/src/route.rs
@@ -18,12 +18,12 @@
 }
 
 impl RetryPolicy {
-    /// Reports whether the response is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 
-    /// Reports whether a request that may have run already may be retried.
+    /// Returns whether a request that may have run already may be retried.
     pub fn allows_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
--- a/crates/sequoiawing_http/src/sse.rs
+++ b/crates/sequoiawing_http/src/sse.rs
@@ -52,12 +52,12 @@
         self.last_id
     }
 
-    /// Reports whether bytes of an incomplete event are held back.
+    /// Returns whether bytes of an incomplete event are held back.
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Reports whether the last event of the stream has been returned.
+    /// Returns whether the last event of the stream has been returned.
     pub fn is_done(&self) -> bool {
         self.is_done
     }
--- a/crates/sequoiawing_standin/src/announcer.rs
+++ b/crates/sequoiawing_standin/src/announcer.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Renews the last announcement or sends a full one, and reports whether the
+    /// Renews the last announcement or sends a full one, and returns whether the
     /// router accepted it.
     async fn announce(
         &self,
--- a/crates/sequoiawing_standin/src/engine.rs
+++ b/crates/sequoiawing_standin/src/engine.rs
@@ -423,7 +423,7 @@
     offset.and_then(|v| v.parse().ok()).unwrap_or(0)
 }
 
-/// Copies the attempt id and the stream offset from a request to its response.
+/// Copies the attempt ID and the stream offset from a request to its response.
 pub(crate) fn echo_headers(request: &HeaderMap, response: &mut Response<Body>, fault: Fault) {
     for name in [ATTEMPT_HEADER, OFFSET_HEADER] {
         if let Some(value) = request.get(name) {
--- a/crates/sequoiawing_standin/src/fault.rs
+++ b/crates/sequoiawing_standin/src/fault.rs
@@ -46,7 +46,7 @@
 }
 
 impl Fault {
-    /// Reports whether the fault violates HTTP, so that connections are served
+    /// Returns whether the fault violates HTTP, so that connections are served
     /// without `hyper`.
     pub(crate) fn is_raw(self) -> bool {
         matches!(
--- a/crates/sequoiawing_standin/src/load.rs
+++ b/crates/sequoiawing_standin/src/load.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// The header with the request id, which routers echo.
+/// The header with the request ID, which routers echo.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// The number of different response lengths, by which a response to another
@@ -247,7 +247,7 @@
         Some((router, request.ok()?))
     }
 
-    /// Reports whether a response is complete and belongs to its request.
+    /// Returns whether a response is complete and belongs to its request.
     fn is_expected(&self, text: &[u8], body: &str, tokens: u64) -> bool {
         let text = String::from_utf8_lossy(text);
         if self.settings.models.iter().all(String::is_empty) {
--- a/tests/scenarios/response.rs
+++ b/tests/scenarios/response.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Reports whether a response is complete: a stream by its last event, others by
+/// Returns whether a response is complete: a stream by its last event, others by
 /// their length, which the client has checked.
 fn is_complete(response: &Response) -> bool {
     let kind = response.header("content-type").unwrap_or_default();
