--- a/crates/sequoiawing_standin/src/engine.rs
+++ b/crates/sequoiawing_standin/src/engine.rs
@@ -52,7 +52,7 @@
     active: BTreeSet<Name>,
     /// The number of running requests, by model and adapter.
     in_use: BTreeMap<Name, u32>,
-    /// The fencing numbers and ids of the orders so far, for deduplication.
+    /// The fencing tokens and IDs of the orders so far, for deduplication.
     handled_orders: BTreeSet<(u64, u64)>,
     started_loads: u64,
 }
@@ -423,7 +423,7 @@
     offset.and_then(|v| v.parse().ok()).unwrap_or(0)
 }
 
-/// Copies the attempt id and the stream offset from a request to its response.
+/// Copies the attempt ID and the stream offset from a request to its response.
 pub(crate) fn echo_headers(request: &HeaderMap, response: &mut Response<Body>, fault: Fault) {
     for name in [ATTEMPT_HEADER, OFFSET_HEADER] {
         if let Some(value) = request.get(name) {
