--- a/crates/sequoiawing_bench/src/fakes/runner.rs
+++ b/crates/sequoiawing_bench/src/fakes/runner.rs
@@ -23,7 +23,7 @@
     pub disk: Vec<Name>,
     /// The models with a checkpoint in its main memory.
     pub cached: Vec<Name>,
-    /// Whether it rejects orders with an outdated fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub fenced: bool,
 }
 
@@ -171,7 +171,7 @@
         u32::try_from(self.loading_adapters.len()).unwrap_or(u32::MAX)
     }
 
-    /// Reports whether the model is loaded or loading.
+    /// Returns whether the model is loaded or loading.
     pub(crate) fn holds(&self, model: &Name) -> bool {
         self.loaded.contains_key(model) || self.loading.contains_key(model)
     }
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Reports whether the model is loaded, and its adapter (`model:adapter`)
+    /// Returns whether the model is loaded, and its adapter (`model:adapter`)
     /// if one is given.
     pub(crate) fn has_loaded(&self, model: &Name, adapter: Option<&Name>) -> bool {
         self.loaded.contains_key(model) && adapter.is_none_or(|a| self.adapters.contains(a))
--- a/crates/sequoiawing_bench/src/policies.rs
+++ b/crates/sequoiawing_bench/src/policies.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Reports whether routers send demands to the leaders of other data
+    /// Returns whether routers send demands to the leaders of other data
     /// centres.
     pub(crate) fn is_cross_centre(self) -> bool {
         self != Self::Fifo
--- a/crates/sequoiawing_bench/src/simulation/checks.rs
+++ b/crates/sequoiawing_bench/src/simulation/checks.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Reports whether a runner has been frozen long enough to be presumed
+    /// Returns whether a runner has been frozen long enough to be presumed
     /// dead. Its replicas count as surplus once it resumes.
     fn is_presumed_dead(&self, i: usize) -> bool {
         let dead_after = self.settings.place.dead_after;
--- a/crates/sequoiawing_bench/src/simulation/outcome.rs
+++ b/crates/sequoiawing_bench/src/simulation/outcome.rs
@@ -52,7 +52,7 @@
 }
 
 impl RequestOutcome {
-    /// Reports whether it was refused although its customer was entitled to it.
+    /// Returns whether it was refused although its customer was entitled to it.
     pub fn is_wrongly_refused(&self) -> bool {
         let is_refused = matches!(
             self.status,
--- a/crates/sequoiawing_bench/src/simulation/requests.rs
+++ b/crates/sequoiawing_bench/src/simulation/requests.rs
@@ -83,7 +83,7 @@
         spec.map_or(0, |m| m.memory)
     }
 
-    /// Reports whether the routers of a data centre can reach a runner.
+    /// Returns whether the routers of a data centre can reach a runner.
     pub(crate) fn can_reach(&self, centre: usize, runner: &FakeRunner) -> bool {
         let own = &self.centres[centre];
         if own.name == runner.spec.centre {
--- a/crates/sequoiawing_bench/src/simulation/sent_orders.rs
+++ b/crates/sequoiawing_bench/src/simulation/sent_orders.rs
@@ -2,7 +2,7 @@
 use sequoiawing_types::Name;
 use std::collections::HashMap;
 
-/// The data centre, fencing number and identifier of an order.
+/// The data centre, fencing token and identifier of an order.
 type Key = (usize, u64, u64);
 
 /// Checks that order identifiers are unique.
--- a/crates/sequoiawing_router/src/attempt.rs
+++ b/crates/sequoiawing_router/src/attempt.rs
@@ -343,7 +343,7 @@
     None
 }
 
-/// Reports whether a truncated response can be told from a complete one.
+/// Returns whether a truncated response can be told from a complete one.
 fn is_delimited(template: &RequestTemplate, response: &Response<ClientBody>) -> bool {
     let status = response.status();
     let is_empty = template.method == Method::HEAD
--- a/crates/sequoiawing_router/src/credential.rs
+++ b/crates/sequoiawing_router/src/credential.rs
@@ -59,7 +59,7 @@
     Ok(from_headers.or(from_query))
 }
 
-/// Reports whether a body contains an active key.
+/// Returns whether a body contains an active key.
 pub(crate) fn contains_active_key(tables: &Tables, body: &[u8]) -> bool {
     let is_key_byte = |b: &u8| b.is_ascii_alphanumeric() || *b == b'_';
     memmem::find_iter(body, KEY_PREFIX).any(|start| {
--- a/crates/sequoiawing_router/src/filters/forward.rs
+++ b/crates/sequoiawing_router/src/filters/forward.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Reports whether a failed request is retried.
+    /// Returns whether a failed request is retried.
     ///
     /// Attempts that reached no upstream put no load on one, so they are not
     /// charged to the retry budget.
--- a/crates/sequoiawing_router/src/filters/measure.rs
+++ b/crates/sequoiawing_router/src/filters/measure.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reports whether a refused request was within its customer's rate; this is
+/// Returns whether a refused request was within its customer's rate; this is
 /// unknown for requests that were refused before the budget was checked.
 fn within_rate(exchange: &Exchange, code: Code) -> WithinRate {
     match code {
--- a/crates/sequoiawing_router/src/key_grace.rs
+++ b/crates/sequoiawing_router/src/key_grace.rs
@@ -24,7 +24,7 @@
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Reports whether keys are accepted; a grace period of zero never ends.
+    /// Returns whether keys are accepted; a grace period of zero never ends.
     pub(crate) fn accepts_keys(&self, now: u64, grace: Duration) -> bool {
         grace.is_zero() || now.saturating_sub(self.last_confirmed()) <= to_millis(grace)
     }
--- a/crates/sequoiawing_router/src/limiter/shared.rs
+++ b/crates/sequoiawing_router/src/limiter/shared.rs
@@ -104,7 +104,7 @@
         self.budget(now, budget).inner.lock().admission.mark_due();
     }
 
-    /// Reports whether, at some time since the start, a lender had answered for
+    /// Returns whether, at some time since the start, a lender had answered for
     /// every customer that was known then.
     ///
     /// It never reverts to false, so that adding a customer does not fail the
@@ -149,7 +149,7 @@
         self.due.0.try_send(()).ok();
     }
 
-    /// Reports whether any request is waiting.
+    /// Returns whether any request is waiting.
     pub(crate) fn is_waiting(&self) -> bool {
         let budgets = self.budgets.read();
         budgets
--- a/crates/sequoiawing_types/src/findings.rs
+++ b/crates/sequoiawing_types/src/findings.rs
@@ -28,7 +28,7 @@
         self.0.push(Finding { place, problem });
     }
 
-    /// Reports whether there are no findings.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/sequoiawing_types/src/name.rs
+++ b/crates/sequoiawing_types/src/name.rs
@@ -25,12 +25,12 @@
         &self.0
     }
 
-    /// Reports whether other clones share the allocation.
+    /// Returns whether other clones share the allocation.
     pub fn is_shared(&self) -> bool {
         Arc::strong_count(&self.0) > 1
     }
 
-    /// Reports whether the name is valid in a table: 1 to 128 ASCII letters,
+    /// Returns whether the name is valid in a table: 1 to 128 ASCII letters,
     /// digits, `-`, `_`, `.` or `/`.
     pub fn is_valid(&self) -> bool {
         let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_./".contains(&b);
