--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -3,8 +3,16 @@
 mod support;
 
 use serde_json::json;
-use std::{net::SocketAddr, thread, time::Duration};
-use support::{Deployment, Layout, Response, post};
+use std::{
+    net::SocketAddr,
+    sync::{
+        Arc,
+        atomic::{AtomicUsize, Ordering},
+    },
+    thread,
+    time::Duration,
+};
+use support::{Deployment, Layout, Response, http::post_stream, post, wait::wait};
 
 /// Sends a streamed completion from a new thread.
 fn stream(to: SocketAddr, key: &str, model: &str, tokens: u64) -> thread::JoinHandle<Response> {
@@ -13,6 +21,30 @@
     thread::spawn(move || post(to, "/v1/completions", &key, &body.to_string()))
 }
 
+/// Starts streamed completions in new threads and waits until each of them has
+/// received its first event: all of them have then begun at a runner.
+fn begin_streams(
+    count: usize,
+    to: SocketAddr,
+    key: &str,
+    model: &str,
+    tokens: u64,
+) -> Vec<thread::JoinHandle<Response>> {
+    let body = json!({ "model": model, "prompt": "p", "max_tokens": tokens, "stream": true });
+    let body = body.to_string();
+    let begun = Arc::new(AtomicUsize::new(0));
+    let start = |_| {
+        let (key, body, begun) = (key.to_owned(), body.clone(), begun.clone());
+        thread::spawn(move || post_stream(to, "/v1/completions", &key, &body, &begun))
+    };
+    let open = (0..count).map(start).collect();
+    wait("the streams to begin", || {
+        let begun = begun.load(Ordering::Relaxed);
+        (begun == count).then_some(()).ok_or(json!(begun))
+    });
+    open
+}
+
 /// Asserts that a stream is complete.
 fn assert_complete(response: &Response, tokens: usize) {
     assert_eq!(response.status, 200, "{}", response.body);
@@ -57,9 +89,7 @@
     let mut deployment = Deployment::start("router-stops");
     let key = deployment.grant_key("daily");
     assert_complete(&deployment.complete(&key, "caption", 1), 1);
-    let to = deployment.callers();
-    let open: Vec<_> = (0..8).map(|_| stream(to, &key, "caption", 400)).collect();
-    thread::sleep(Duration::from_millis(200));
+    let open = begin_streams(8, deployment.callers(), &key, "caption", 400);
     let router = deployment.terminate_router();
     for response in open {
         assert_complete(&response.join().expect("the request is answered"), 400);
@@ -84,9 +114,7 @@
     let mut deployment = Deployment::start("runner-stops");
     let key = deployment.grant_key("daily");
     assert_complete(&deployment.complete(&key, "caption", 1), 1);
-    let to = deployment.callers();
-    let open: Vec<_> = (0..8).map(|_| stream(to, &key, "caption", 400)).collect();
-    thread::sleep(Duration::from_millis(200));
+    let open = begin_streams(8, deployment.callers(), &key, "caption", 400);
     let runner = deployment.terminate("runner-0-0");
     for response in open {
         assert_complete(&response.join().expect("the request is answered"), 400);
--- a/tests/support/http.rs
+++ b/tests/support/http.rs
@@ -2,10 +2,14 @@
 
 use super::wait::TIMEOUT;
 use std::{
-    io::{Read, Write},
+    io::{ErrorKind, Read, Write},
     net::{SocketAddr, TcpStream},
+    sync::atomic::{AtomicUsize, Ordering},
 };
 
+/// The start of each event of a stream.
+const EVENT_START: &[u8] = b"data: ";
+
 /// A response as a caller sees it.
 #[derive(Debug)]
 pub(crate) struct Response {
@@ -49,28 +53,76 @@
     headers: &[(&str, &str)],
     body: &str,
 ) -> Option<Response> {
+    parse(&send_raw(to, &format_request(path, key, headers, body))?)
+}
+
+/// Sends a request for a stream and reads the complete response. Increments
+/// `begun` when the first event arrives.
+pub(crate) fn post_stream(
+    to: SocketAddr,
+    path: &str,
+    key: &str,
+    body: &str,
+    begun: &AtomicUsize,
+) -> Response {
+    let mut has_begun = false;
+    let on_read = |received: &[u8]| {
+        if !has_begun
+            && received
+                .windows(EVENT_START.len())
+                .any(|w| w == EVENT_START)
+        {
+            has_begun = true;
+            begun.fetch_add(1, Ordering::Relaxed);
+        }
+    };
+    let text = send_and_read(to, &format_request(path, key, &[], body), on_read);
+    let response = text.as_deref().and_then(parse);
+    response.expect("the router sends a complete response")
+}
+
+fn format_request(path: &str, key: &str, headers: &[(&str, &str)], body: &str) -> String {
     let length = body.len();
     let headers: Vec<String> = headers
         .iter()
         .map(|(n, v)| format!("{n}: {v}\r\n"))
         .collect();
     let headers = headers.concat();
-    let request = format!(
+    format!(
         "POST {path} HTTP/1.1\r\nHost: test\r\nAuthorization: Bearer {key}\r\n{headers}\
          Connection: close\r\nContent-Length: {length}\r\n\r\n{body}"
-    );
-    parse(&send_raw(to, &request)?)
+    )
 }
 
 /// Sends a raw request and reads until the connection is closed, or returns
 /// `None` if the connection fails.
 pub(crate) fn send_raw(to: SocketAddr, request: &str) -> Option<String> {
+    send_and_read(to, request, |_| ())
+}
+
+/// Sends a raw request and reads until the connection is closed, or returns
+/// `None` if the connection fails. Calls `on_read` with all bytes received so far
+/// after each read.
+fn send_and_read<F>(to: SocketAddr, request: &str, mut on_read: F) -> Option<String>
+where
+    F: FnMut(&[u8]),
+{
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
-    let mut text = String::new();
-    stream.read_to_string(&mut text).ok()?;
-    Some(text)
+    let mut received = Vec::new();
+    let mut buffer = [0; 4096];
+    loop {
+        match stream.read(&mut buffer) {
+            Ok(0) => return String::from_utf8(received).ok(),
+            Ok(length) => {
+                received.extend_from_slice(&buffer[..length]);
+                on_read(&received);
+            }
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(_) => return None,
+        }
+    }
 }
 
 /// Parses a response, or returns `None` if it is incomplete.
