--- a/tools/capacity/src/cost.rs
+++ b/tools/capacity/src/cost.rs
@@ -49,7 +49,7 @@
         self.mechanisms.push(MechanismCost { name, cost });
     }
 
-    /// Reports whether the role runs on an entry host, to which the limits apply.
+    /// Returns whether the role runs on an entry host, to which the limits apply.
     pub fn runs_on_node(&self) -> bool {
         matches!(self.name, "router" | "cell leader" | "relay")
     }
